--- a/internal/api/nodestatus/messages.go
+++ b/internal/api/nodestatus/messages.go
@@ -23,6 +23,6 @@
 }
 
 func init() {
-	peer.Register(PartRequest{})
-	peer.Register(PartReply{})
+	peer.RegisterAs("nodestatus.PartRequest", PartRequest{})
+	peer.RegisterAs("nodestatus.PartReply", PartReply{})
 }
--- a/internal/claims/messages.go
+++ b/internal/claims/messages.go
@@ -124,13 +124,13 @@
 }
 
 func init() {
-	peer.Register(VoteRequest{})
-	peer.Register(VoteReply{})
-	peer.Register(RecordRequest{})
-	peer.Register(ReleaseRequest{})
-	peer.Register(Acknowledgement{})
-	peer.Register(SealRequest{})
-	peer.Register(UnsealRequest{})
-	peer.Register(SealReply{})
-	peer.Register(InstallRequest{})
+	peer.RegisterAs("claims.VoteRequest", VoteRequest{})
+	peer.RegisterAs("claims.VoteReply", VoteReply{})
+	peer.RegisterAs("claims.RecordRequest", RecordRequest{})
+	peer.RegisterAs("claims.ReleaseRequest", ReleaseRequest{})
+	peer.RegisterAs("claims.Acknowledgement", Acknowledgement{})
+	peer.RegisterAs("claims.SealRequest", SealRequest{})
+	peer.RegisterAs("claims.UnsealRequest", UnsealRequest{})
+	peer.RegisterAs("claims.SealReply", SealReply{})
+	peer.RegisterAs("claims.InstallRequest", InstallRequest{})
 }
--- a/internal/directory/messages.go
+++ b/internal/directory/messages.go
@@ -97,8 +97,8 @@
 }
 
 func init() {
-	peer.Register(DemandReport{})
-	peer.Register(EndpointUpdate{})
+	peer.RegisterAs("directory.DemandReport", DemandReport{})
+	peer.RegisterAs("directory.EndpointUpdate", EndpointUpdate{})
 }
 
 // Reader is the gateway's read access to endpoints; safe for concurrent use.
--- a/internal/mirror/relay.go
+++ b/internal/mirror/relay.go
@@ -103,10 +103,10 @@
 type NotRelay struct{}
 
 func init() {
-	peer.Register(Subscribe{})
-	peer.Register(Update{})
-	peer.Register(NotRelay{})
-	peer.Register(Redirect{})
+	peer.RegisterAs("mirror.Subscribe", Subscribe{})
+	peer.RegisterAs("mirror.Update", Update{})
+	peer.RegisterAs("mirror.NotRelay", NotRelay{})
+	peer.RegisterAs("mirror.Redirect", Redirect{})
 }
 
 // subscribe asks the relay now and then, and at once when there is another one or
--- a/internal/orders/messages.go
+++ b/internal/orders/messages.go
@@ -98,7 +98,7 @@
 type NotHolder struct{}
 
 func init() {
-	peer.Register(DemandReport{})
-	peer.Register(Update{})
-	peer.Register(NotHolder{})
+	peer.RegisterAs("orders.DemandReport", DemandReport{})
+	peer.RegisterAs("orders.Update", Update{})
+	peer.RegisterAs("orders.NotHolder", NotHolder{})
 }
--- a/internal/peer/register.go
+++ b/internal/peer/register.go
@@ -1,15 +1,10 @@
 package peer
 
-import (
-	"encoding/gob"
-	"reflect"
-)
+import "encoding/gob"
 
-// Register makes a message type known to gob under its short name, package and
-// type such as "claims.VoteRequest". Gob's own choice is the whole import path,
-// which would travel with every message. Names must differ between packages.
-func Register(prototype Message) { RegisterAs(reflect.TypeOf(prototype).String(), prototype) }
-
-// RegisterAs is Register with a name that was the type's before, so that nodes of earlier
-// and later builds understand each other.
+// RegisterAs makes a message type known to gob under the given name, such as
+// "claims.VoteRequest". Gob's own choice is the whole import path, which would travel
+// with every message. The name is the message's name on the wire, independent of the Go
+// type: it must not change when the type or its package is renamed, or nodes of earlier
+// and later builds would not understand each other. No two messages may share a name.
 func RegisterAs(name string, prototype Message) { gob.RegisterName(name, prototype) }
--- a/internal/poison/messages.go
+++ b/internal/poison/messages.go
@@ -69,8 +69,8 @@
 }
 
 func init() {
-	peer.Register(Report{})
-	peer.Register(Quarantined{})
-	peer.Register(Entries{})
-	peer.Register(Released{})
+	peer.RegisterAs("poison.Report", Report{})
+	peer.RegisterAs("poison.Quarantined", Quarantined{})
+	peer.RegisterAs("poison.Entries", Entries{})
+	peer.RegisterAs("poison.Released", Released{})
 }
--- a/internal/tablestore/messages.go
+++ b/internal/tablestore/messages.go
@@ -43,9 +43,9 @@
 }
 
 func init() {
-	peer.Register(PushMessage{})
-	peer.Register(PullRequest{})
-	peer.Register(PullReply{})
-	peer.Register(RevisionRequest{})
-	peer.Register(RevisionReply{})
+	peer.RegisterAs("tablestore.PushMessage", PushMessage{})
+	peer.RegisterAs("tablestore.PullRequest", PullRequest{})
+	peer.RegisterAs("tablestore.PullReply", PullReply{})
+	peer.RegisterAs("tablestore.RevisionRequest", RevisionRequest{})
+	peer.RegisterAs("tablestore.RevisionReply", RevisionReply{})
 }
