--- a/cmd/hatchplank-node/assemble.go
+++ b/cmd/hatchplank-node/assemble.go
@@ -164,7 +164,7 @@
 	n.link = orders.NewLink(orders.LinkConfig{
 		Election: n.election, Holder: n.holder, View: n.view, Transport: n.transport,
 		Demand:  func() []forward.Demand { return n.forwarder.Demand() },
-		Wanted:  func() <-chan struct{} { return n.forwarder.Wanted() },
+		Wanted:  func() <-chan struct{} { return n.forwarder.DemandAdded() },
 		Notices: n.notices, SetNodes: n.setNodes, Counters: n.limiter.Counters, SetCounters: n.limiter.SetCounters,
 		Name: n.settings.Node.Name, Address: n.transport.Address(), Logger: n.logger,
 	})
@@ -222,8 +222,8 @@
 
 func (n *node) assembleForwarder() {
 	n.forwarder = forward.New(forward.Config{
-		View: n.view, Backend: &platform.Backend{Client: n.servers, Notices: n.notices}, Orders: n.link, Quota: n.quota, Backoffs: n.notices, Limits: n.limits, Poison: n.poison, Behind: n.mirror.Behind, Zone: n.settings.Node.Zone,
-		Nodes: assumedNodes, Observe: n.requests.Attempt, UnderWay: n.requests.UnderWay,
+		View: n.view, Backend: &platform.Backend{Client: n.servers, Notices: n.notices}, Orders: n.link, Quota: n.quota, Backoffs: n.notices, Limits: n.limits, Poison: n.poison, MayBeStale: n.mirror.Behind, Zone: n.settings.Node.Zone,
+		Nodes: assumedNodes, Observe: n.requests.Attempt, LongRunning: n.requests.UnderWay,
 		Budget: forward.BudgetLimits{
 			Ratio: n.settings.Retries.Ratio, Slack: n.settings.Retries.Slack, Window: n.settings.Retries.Window,
 		},
@@ -242,7 +242,7 @@
 		IdleLimit:  n.idleLimit,
 		Background: []func(context.Context){n.mirror.Run, n.election.Run, n.holder.Run, n.link.Run, n.limiter.Run, n.poison.Run, n.tidy, n.serveNodes},
 		Drain:      n.forwarder.Drain,
-		End:        n.forwarder.End,
+		End:        n.forwarder.Close,
 		HandOver:   n.election.Resign,
 	}
 }
@@ -326,7 +326,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			n.forwarder.Tidy()
+			n.forwarder.Prune()
 			n.notices.Tidy(now)
 			n.limits.Tidy(now)
 			n.servers.Tidy(now)
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -181,14 +181,14 @@
 	metrics := newTestMetrics()
 	log := NewRequestLog(zerolog.New(&output), metrics)
 	request := &forward.Request{ID: "r1", Model: "m", Accepted: time.Now()}
-	log.Attempt(forward.Observation{Request: request, Server: "s1", Number: 1, Again: true, Failure: &forward.AttemptError{
-		Reason: forward.FailureFull, Ran: result.RanNo, Load: forward.Load{Known: true, Running: 4, Waiting: 2},
+	log.Attempt(forward.Observation{Request: request, Server: "s1", Number: 1, WillRetry: true, Failure: &forward.AttemptError{
+		Reason: forward.FailureFull, Ran: result.RanNo, Load: forward.Load{Reported: true, Running: 4, Waiting: 2},
 	}})
 	log.Ended(request, forward.Outcome{
 		Code: result.NoBackEnd, Route: "r", Pool: "p", Attempts: 1, RetryAfter: time.Second, Reason: "no place",
-		Belief: forward.Belief{Configuration: 7, Able: 0, Delay: 2 * time.Second},
+		Decision: forward.Decision{Configuration: 7, Eligible: 0, Delay: 2 * time.Second},
 	})
-	log.UnderWay(forward.UnderWay{Request: request, Route: "r", Pool: "p", Server: "s1"})
+	log.UnderWay(forward.LongRunning{Request: request, Route: "r", Pool: "p", Server: "s1"})
 	lines := strings.Split(strings.TrimSpace(output.String()), "\n")
 	Expect(lines).To(HaveLen(3))
 	Expect(lines[2]).To(And(ContainSubstring(`"request":"r1"`), ContainSubstring(`"server":"s1"`), ContainSubstring("request under way")))
--- a/internal/edge/requestlog.go
+++ b/internal/edge/requestlog.go
@@ -36,15 +36,15 @@
 		return
 	}
 	event = addIdentity(event.Str("request", seen.Request.ID), seen.Request).Str("server", seen.Server).Int("attempt", seen.Number).
-		Str("reason", reason).Str("ran", seen.Failure.Ran.String()).Bool("again", seen.Again)
-	if seen.Failure.Load.Known {
+		Str("reason", reason).Str("ran", seen.Failure.Ran.String()).Bool("again", seen.WillRetry)
+	if seen.Failure.Load.Reported {
 		event = event.Int("server_running", seen.Failure.Load.Running).Int("server_waiting", seen.Failure.Load.Waiting)
 	}
 	event.AnErr("error", seen.Failure.Cause).Msg("attempt failed")
 }
 
 // UnderWay notes a request that has not ended yet.
-func (l *RequestLog) UnderWay(told forward.UnderWay) {
+func (l *RequestLog) UnderWay(told forward.LongRunning) {
 	event := l.limiter.Event(&l.logger, zerolog.InfoLevel, "under way")
 	if event == nil {
 		return
@@ -75,21 +75,21 @@
 		event = event.Bool("cold", true)
 	}
 	event = addText(event, "late", string(outcome.Late))
-	if outcome.CameBack {
+	if outcome.ClientRetry {
 		event = event.Bool("came_back", true)
 	}
-	if outcome.LongestPause > 0 {
-		event = event.Dur("longest_pause_ms", outcome.LongestPause)
+	if outcome.LongestGap > 0 {
+		event = event.Dur("longest_pause_ms", outcome.LongestGap)
 	}
 	if outcome.RetryAfter > 0 {
 		event = event.Dur("retry_after_ms", outcome.RetryAfter)
 	}
-	addBelief(event, outcome.Belief).Msg("request ended")
+	addBelief(event, outcome.Decision).Msg("request ended")
 }
 
 // addBelief tells what the last decision about the request rested on.
-func addBelief(event *zerolog.Event, belief forward.Belief) *zerolog.Event {
-	event = event.Int64("configuration", belief.Configuration).Int("able", belief.Able).Int("candidates", belief.Candidates)
+func addBelief(event *zerolog.Event, belief forward.Decision) *zerolog.Event {
+	event = event.Int64("configuration", belief.Configuration).Int("able", belief.Eligible).Int("candidates", belief.Candidates)
 	if belief.Candidates > 0 {
 		event = event.Int("server_load", belief.Load).Dur("score_ms", belief.Score)
 		if belief.LoadAge > 0 {
--- a/internal/forward/admission_test.go
+++ b/internal/forward/admission_test.go
@@ -198,7 +198,7 @@
 	inVirtualTime(t, func(b *bench) {
 		b.view.ReplaceServers(map[string]*fleet.Server{"m1": {ID: "m1", Pool: poolOfModels, Slots: 8, Models: holds("m"), Zone: "z"}})
 		b.forwarder.tracker.ran(poolOfModels, 2*time.Second)
-		b.forwarder.tracker.of("m1").tell(Load{Known: true, Running: 8, Waiting: 11, Slots: 8}, time.Now())
+		b.forwarder.tracker.of("m1").tell(Load{Reported: true, Running: 8, Waiting: 11, Slots: 8}, time.Now())
 		started := time.Now()
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 20*time.Second), &recorder{})
 		Expect(outcome.Code).To(Equal(result.QueueFull))
@@ -213,7 +213,7 @@
 		b.view.ReplaceServers(map[string]*fleet.Server{"m1": {ID: "m1", Pool: poolOfModels, Slots: 8, Models: holds("m"), Zone: "z"}})
 		b.forwarder.Serve(context.Background(), request("stream", "m", 20*time.Second), &recorder{})
 		b.forwarder.tracker.ran(poolOfModels, 2*time.Second)
-		b.forwarder.tracker.of("m1").tell(Load{Known: true, Running: 8, Waiting: 4, Slots: 8}, time.Now())
+		b.forwarder.tracker.of("m1").tell(Load{Reported: true, Running: 8, Waiting: 4, Slots: 8}, time.Now())
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 15*time.Second), &recorder{})
 		Expect(outcome.Code).To(Equal(result.OK))
 	})
@@ -247,10 +247,10 @@
 func TestShortestQueueCounts(t *testing.T) {
 	inVirtualTime(t, func(b *bench) {
 		b.forwarder.tracker.ran(poolOfModels, 2*time.Second)
-		b.forwarder.tracker.of("m2").tell(Load{Known: true, Running: 8, Waiting: 11, Slots: 8}, time.Now())
+		b.forwarder.tracker.of("m2").tell(Load{Reported: true, Running: 8, Waiting: 11, Slots: 8}, time.Now())
 		b.backend.answer["m1"] = streams(events(1, 3), time.Millisecond, io.EOF)
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 20*time.Second), &recorder{})
 		Expect(outcome.Server).To(Equal("m1"))
-		Expect(outcome.Belief.QueueWait).To(BeZero(), "one of two servers has a free slot")
+		Expect(outcome.Decision.QueueWait).To(BeZero(), "one of two servers has a free slot")
 	})
 }
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -124,7 +124,7 @@
 	}
 	again := f.mayGoOn(flow, failure)
 	over := ctx.Err() != nil && !impatient
-	f.observe(Observation{Request: flow.request, Server: place.server.ID, Number: flow.sent, Failure: failure, Again: again && !over})
+	f.observe(Observation{Request: flow.request, Server: place.server.ID, Number: flow.sent, Failure: failure, WillRetry: again && !over})
 	if over {
 		return f.ended(ctx, flow)
 	}
@@ -175,8 +175,8 @@
 		// The address belongs to another server now; the listing will tell.
 		load.pausedUntil = now.Add(longestPause)
 	case FailureFull:
-		if !failure.Load.Known {
-			load.tell(Load{Known: true, Running: overfull * server.Slots}, now)
+		if !failure.Load.Reported {
+			load.tell(Load{Reported: true, Running: overfull * server.Slots}, now)
 		}
 	case FailureBroken, FailureTimeout:
 		load.ended(true, now)
--- a/internal/forward/backoff_test.go
+++ b/internal/forward/backoff_test.go
@@ -45,7 +45,7 @@
 func backsOff(backoffs *askedBackoffs, pause time.Duration) func(context.Context, Attempt) (*Reply, error) {
 	return func(_ context.Context, attempt Attempt) (*Reply, error) {
 		backoffs.ask(pause, attempt.Server.ID)
-		return nil, &AttemptError{Reason: FailureBackoff, Ran: result.RanNo, Load: Load{Known: true, Slots: 8}}
+		return nil, &AttemptError{Reason: FailureBackoff, Ran: result.RanNo, Load: Load{Reported: true, Slots: 8}}
 	}
 }
 
--- a/internal/forward/choose.go
+++ b/internal/forward/choose.go
@@ -113,7 +113,7 @@
 		}
 	}
 	flow.belief.Configuration = snapshot.Configuration.Revision
-	flow.belief.Able, flow.belief.Candidates = result.able, len(candidates)
+	flow.belief.Eligible, flow.belief.Candidates = result.able, len(candidates)
 	flow.belief.QueueWait = 0
 	if len(waits) > 0 {
 		flow.belief.QueueWait = slices.Min(waits)
@@ -198,7 +198,7 @@
 	c.load.mutex.Lock()
 	defer c.load.mutex.Unlock()
 	flow.belief.Load, flow.belief.Score, flow.belief.LoadAge = c.load.estimate(now), c.score, 0
-	if c.load.hint.Known {
+	if c.load.hint.Reported {
 		flow.belief.LoadAge = now.Sub(c.load.hintAt)
 	}
 	c.load.own++
--- a/internal/forward/flow.go
+++ b/internal/forward/flow.go
@@ -36,7 +36,7 @@
 	// newest is the server of the newest attempt, for other goroutines.
 	newest *atomic.Pointer[fleet.Server]
 	cold   bool
-	belief Belief
+	belief Decision
 	// lastEvent passed on, and whether the head was.
 	lastEvent string
 	begun     bool
@@ -76,9 +76,9 @@
 
 func (fl *flow) outcome(code result.Code, reason string) *Outcome {
 	return &Outcome{
-		Code: code, Reason: reason, Ran: fl.ran, Begun: fl.begun, Attempts: fl.sent, Server: fl.server,
+		Code: code, Reason: reason, Ran: fl.ran, HeadSent: fl.begun, Attempts: fl.sent, Server: fl.server,
 		Route: fl.route.Name, Pool: fl.pool, Held: fl.held, FirstByte: fl.firstByte,
-		Cold: fl.cold, Belief: fl.belief, LongestPause: fl.pauses.longest, CameBack: fl.cameBack,
+		Cold: fl.cold, Decision: fl.belief, LongestGap: fl.pauses.longest, ClientRetry: fl.cameBack,
 		Late: fl.lateness(),
 	}
 }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -88,8 +88,8 @@
 // A request that takes long is told of once, with the server that has it.
 func TestTellsOfRequestsThatTakeLong(t *testing.T) {
 	inVirtualTime(t, func(b *bench) {
-		var told []UnderWay
-		b.forwarder.underWay = func(seen UnderWay) { told = append(told, seen) }
+		var told []LongRunning
+		b.forwarder.underWay = func(seen LongRunning) { told = append(told, seen) }
 		b.forwarder.Serve(context.Background(), request("once", "", time.Minute), &recorder{})
 		Expect(told).To(BeEmpty())
 		for id := range b.backend.answer {
@@ -149,7 +149,7 @@
 		b.backend.answer["m1"] = streams(events(1, 1000), 50*time.Millisecond, io.EOF)
 		b.backend.answer["m2"] = b.backend.answer["m1"]
 		started := time.Now()
-		time.AfterFunc(time.Second, b.forwarder.End)
+		time.AfterFunc(time.Second, b.forwarder.Close)
 		outcomes := make(chan Outcome, 3)
 		for _, asked := range []*Request{request("patient", "n", 10*time.Second), request("once", "", 10*time.Second), request("stream", "m", 10*time.Second)} {
 			go func() { outcomes <- b.forwarder.Serve(context.Background(), asked, &recorder{}) }()
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -34,9 +34,9 @@
 	Limits Limits
 	// Poison keeps requests that end servers away from them; nil: nothing does.
 	Poison PoisonGuard
-	// Behind reports whether a newer configuration may exist than the one in force;
+	// MayBeStale reports whether a newer configuration may exist than the one in force;
 	// nil: never.
-	Behind func() bool
+	MayBeStale func() bool
 	// Zone of this node.
 	Zone   string
 	Budget BudgetLimits
@@ -44,9 +44,9 @@
 	Nodes int
 	// Observe is called with each attempt that ended; nil: not called.
 	Observe func(Observation)
-	// UnderWay is called once for each request that takes long, before it ends; nil:
+	// LongRunning is called once for each request that takes long, before it ends; nil:
 	// not called.
-	UnderWay func(UnderWay)
+	LongRunning func(LongRunning)
 }
 
 // Observation tells of one attempt that ended, for logs and metrics.
@@ -55,8 +55,8 @@
 	Server  string
 	Number  int
 	// Failure is nil for an attempt that was answered.
-	Failure *AttemptError
-	Again   bool
+	Failure   *AttemptError
+	WillRetry bool
 }
 
 // Forwarder serves requests. It is safe for concurrent use.
@@ -75,7 +75,7 @@
 	demand   *demandTable
 	observe  func(Observation)
 	// underWay is called for a request that takes long.
-	underWay func(UnderWay)
+	underWay func(LongRunning)
 	numbers  atomic.Uint64
 	// started is when this node did.
 	started time.Time
@@ -97,8 +97,8 @@
 	if config.Observe == nil {
 		config.Observe = func(Observation) {}
 	}
-	if config.Behind == nil {
-		config.Behind = func() bool { return false }
+	if config.MayBeStale == nil {
+		config.MayBeStale = func() bool { return false }
 	}
 	if config.Backoffs == nil {
 		config.Backoffs = noBackoffs{}
@@ -109,15 +109,15 @@
 	if config.Poison == nil {
 		config.Poison = noPoison{}
 	}
-	if config.UnderWay == nil {
-		config.UnderWay = func(UnderWay) {}
+	if config.LongRunning == nil {
+		config.LongRunning = func(LongRunning) {}
 	}
 	life, end := context.WithCancel(context.Background())
 	return &Forwarder{
 		life: life, end: end, started: time.Now(),
-		view: config.View, backend: config.Backend, orders: config.Orders, quota: config.Quota, backoffs: config.Backoffs, limits: config.Limits, poison: config.Poison, behind: config.Behind, zone: config.Zone,
+		view: config.View, backend: config.Backend, orders: config.Orders, quota: config.Quota, backoffs: config.Backoffs, limits: config.Limits, poison: config.Poison, behind: config.MayBeStale, zone: config.Zone,
 		tracker: newTracker(), budgets: newBudgets(config.Budget, config.Nodes), demand: newDemandTable(),
-		observe: config.Observe, underWay: config.UnderWay, patience: map[string]time.Duration{},
+		observe: config.Observe, underWay: config.LongRunning, patience: map[string]time.Duration{},
 	}
 }
 
@@ -130,17 +130,17 @@
 	f.tracker.free()
 }
 
-// End gives all requests their final answer at once.
-func (f *Forwarder) End() { f.end() }
+// Close gives all requests their final answer at once.
+func (f *Forwarder) Close() { f.end() }
 
 // Demand returns what this node's callers ask for.
 func (f *Forwarder) Demand() []Demand { return f.demand.snapshot() }
 
-// Wanted receives after requests began to wait for a model or adapter.
-func (f *Forwarder) Wanted() <-chan struct{} { return f.demand.wanted }
+// DemandAdded receives after requests began to wait for a model or adapter.
+func (f *Forwarder) DemandAdded() <-chan struct{} { return f.demand.wanted }
 
-// Tidy forgets servers that are gone. It is called now and then.
-func (f *Forwarder) Tidy() {
+// Prune forgets servers that are gone. It is called now and then.
+func (f *Forwarder) Prune() {
 	servers := f.view.Load().Servers
 	f.tracker.keep(func(id string) bool { return servers[id] != nil })
 }
--- a/internal/forward/late.go
+++ b/internal/forward/late.go
@@ -9,8 +9,8 @@
 	OnTime Lateness = ""
 	// LateStart: it began after the route's latency objective.
 	LateStart Lateness = "start"
-	// LatePause: two of its events were further apart than the route's objective.
-	LatePause Lateness = "pause"
+	// LateGap: two of its events were further apart than the route's objective.
+	LateGap Lateness = "pause"
 )
 
 // lateness of the flow's answer so far.
@@ -19,7 +19,7 @@
 	case fl.route.LatencyObjective > 0 && fl.firstByte > fl.route.LatencyObjective:
 		return LateStart
 	case fl.route.GapObjective > 0 && fl.pauses.longest > fl.route.GapObjective:
-		return LatePause
+		return LateGap
 	}
 	return OnTime
 }
--- a/internal/forward/limit.go
+++ b/internal/forward/limit.go
@@ -24,8 +24,8 @@
 	Return(grant serverlimit.Grant)
 	// Limited reports whether the server named a limit.
 	Limited(server *fleet.Server) bool
-	// TurnIn is the time until the next turn there, as far as known; zero: now, or no limit.
-	TurnIn(server *fleet.Server, now time.Time) time.Duration
+	// NextSlotIn is the time until the next turn there, as far as known; zero: now, or no limit.
+	NextSlotIn(server *fleet.Server, now time.Time) time.Duration
 	// Interval that the limit leaves between sendings; zero without a limit.
 	Interval(server *fleet.Server) time.Duration
 }
@@ -46,8 +46,8 @@
 // Limited implements Limits.
 func (NoLimits) Limited(*fleet.Server) bool { return false }
 
-// TurnIn implements Limits.
-func (NoLimits) TurnIn(*fleet.Server, time.Time) time.Duration { return 0 }
+// NextSlotIn implements Limits.
+func (NoLimits) NextSlotIn(*fleet.Server, time.Time) time.Duration { return 0 }
 
 // Interval implements Limits.
 func (NoLimits) Interval(*fleet.Server) time.Duration { return 0 }
@@ -120,7 +120,7 @@
 		return turn{}
 	}
 	told := flow.turns[server.ID].Sub(now)
-	return turn{limited: true, in: max(f.limits.TurnIn(server, now), told, 0), refused: told > 0}
+	return turn{limited: true, in: max(f.limits.NextSlotIn(server, now), told, 0), refused: told > 0}
 }
 
 // mayBeAsked: a turn may come in time. While the flow waits for one it only looks for a server
--- a/internal/forward/limit_test.go
+++ b/internal/forward/limit_test.go
@@ -56,7 +56,7 @@
 	return limited
 }
 
-func (l *fakeLimits) TurnIn(*fleet.Server, time.Time) time.Duration { return 0 }
+func (l *fakeLimits) NextSlotIn(*fleet.Server, time.Time) time.Duration { return 0 }
 
 func (l *fakeLimits) Interval(server *fleet.Server) time.Duration {
 	if l.Limited(server) {
--- a/internal/forward/relay.go
+++ b/internal/forward/relay.go
@@ -57,7 +57,7 @@
 	flow.ran = result.RanYes
 	over := ctx.Err() != nil && !endedByForwarder(ctx)
 	again := !over && f.mayRepeat(flow, 0) && (!flow.begun || flow.lastEvent != "")
-	f.observe(Observation{Request: flow.request, Server: place.server.ID, Number: flow.sent, Failure: failure, Again: again})
+	f.observe(Observation{Request: flow.request, Server: place.server.ID, Number: flow.sent, Failure: failure, WillRetry: again})
 	if over {
 		return f.ended(ctx, flow)
 	}
--- a/internal/forward/relay_test.go
+++ b/internal/forward/relay_test.go
@@ -133,7 +133,7 @@
 		ends := map[Lateness]func(context.Context, Attempt) (*Reply, error){
 			OnTime:    streams(events(1, 3), 100*time.Millisecond, io.EOF),
 			LateStart: after(900*time.Millisecond, streams(events(1, 3), time.Millisecond, io.EOF)),
-			LatePause: streams(events(1, 3), 500*time.Millisecond, io.EOF),
+			LateGap:   streams(events(1, 3), 500*time.Millisecond, io.EOF),
 		}
 		for expected, answer := range ends {
 			b.backend.answer["m1"] = answer
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -73,7 +73,7 @@
 
 // Load is what a server tells of itself with an answer.
 type Load struct {
-	Known                   bool
+	Reported                bool
 	Running, Waiting, Slots int
 }
 
@@ -170,8 +170,8 @@
 	Code result.Code
 	// Status of the server's answer, if one was passed on.
 	Status int
-	// Begun: the head of an answer was passed on.
-	Begun bool
+	// HeadSent: the head of an answer was passed on.
+	HeadSent bool
 	// Broken: the answer that was begun is not whole, and must not look so.
 	Broken bool
 	Ran    result.Ran
@@ -189,22 +189,22 @@
 	FirstByte time.Duration
 	// Cold: no server held what the request needs when it came.
 	Cold bool
-	// CameBack: the caller was probably refused before.
-	CameBack bool
+	// ClientRetry: the caller was probably refused before.
+	ClientRetry bool
 	// Late says how the answer missed its objectives.
 	Late Lateness
-	// LongestPause between two events of the answer.
-	LongestPause time.Duration
-	Belief       Belief
+	// LongestGap between two events of the answer.
+	LongestGap time.Duration
+	Decision   Decision
 }
 
-// Belief is what the last decision about a request rested on.
-type Belief struct {
+// Decision is what the last decision about a request rested on.
+type Decision struct {
 	// Configuration is the revision of the operators' configuration.
 	Configuration int64
-	// Able servers hold what the request needs; Candidates of them could be sent
+	// Eligible servers hold what the request needs; Candidates of them could be sent
 	// the request.
-	Able, Candidates int
+	Eligible, Candidates int
 	// Load of the chosen server, and how old its own word of it was; no age means
 	// that only this node's requests were counted.
 	Load    int
--- a/internal/forward/tenant.go
+++ b/internal/forward/tenant.go
@@ -51,7 +51,7 @@
 	}
 	return &Outcome{
 		Code: result.OverQuota, Reason: overLimit(request.Tenant, request.quota), Route: route.Name,
-		RetryAfter: request.quota.RoomIn, Belief: Belief{Configuration: configuration.Revision},
+		RetryAfter: request.quota.RoomIn, Decision: Decision{Configuration: configuration.Revision},
 	}
 }
 
--- a/internal/forward/tracker.go
+++ b/internal/forward/tracker.go
@@ -49,7 +49,7 @@
 
 // estimate is the number of requests at the server.
 func (s *serverLoad) estimate(now time.Time) int {
-	if s.hint.Known && now.Sub(s.hintAt) < hintLifetime {
+	if s.hint.Reported && now.Sub(s.hintAt) < hintLifetime {
 		return max(s.own, s.hint.Running+s.hint.Waiting+s.own-s.ownAtHint)
 	}
 	return s.own
@@ -90,7 +90,7 @@
 
 // tell takes over the load told with an answer.
 func (s *serverLoad) tell(load Load, now time.Time) {
-	if !load.Known {
+	if !load.Reported {
 		return
 	}
 	s.hint, s.hintAt, s.ownAtHint = load, now, s.own
--- a/internal/forward/underway.go
+++ b/internal/forward/underway.go
@@ -6,8 +6,8 @@
 // whose node is killed can be found afterwards.
 const underWayAfter = time.Second
 
-// UnderWay tells of a request that has not ended yet.
-type UnderWay struct {
+// LongRunning tells of a request that has not ended yet.
+type LongRunning struct {
 	Request     *Request
 	Route, Pool string
 	// Server of the newest attempt, empty if none was sent.
@@ -18,7 +18,7 @@
 // before. Stop must be called when it ends.
 func (f *Forwarder) tellUnderWay(flow *flow) (stop func() bool) {
 	tell := func() {
-		told := UnderWay{Request: flow.request, Route: flow.route.Name, Pool: flow.pool}
+		told := LongRunning{Request: flow.request, Route: flow.route.Name, Pool: flow.pool}
 		if server := flow.newest.Load(); server != nil {
 			told.Server = server.ID
 		}
--- a/internal/serverlimit/serverlimit.go
+++ b/internal/serverlimit/serverlimit.go
@@ -141,9 +141,9 @@
 	return time.Duration(float64(time.Second) / max(limit.PerSecond, slowestRate))
 }
 
-// TurnIn is the time until the next turn at a server, as far as this node knows without
+// NextSlotIn is the time until the next turn at a server, as far as this node knows without
 // asking; zero: it may be now, or the server has no limit.
-func (l *Limits) TurnIn(server *fleet.Server, now time.Time) time.Duration {
+func (l *Limits) NextSlotIn(server *fleet.Server, now time.Time) time.Duration {
 	if !l.Limited(server) {
 		return 0
 	}
--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -108,9 +108,9 @@
 switch_off answer-identity platform/backend.go 'return answer.Header.Get(headerRequestID) == attempt.Request.ID' 'return true' ./platform
 switch_off foreign-costs-connection internal/exchange/client.go 'clean = false' 'clean = true' ./internal/exchange
 switch_off unwritten-costs-connection internal/exchange/client.go '|| !b.written.finished()' '' ./internal/exchange
-switch_off torn-answer-closes platform/ingress.go 'case outcome.Begun || outcome.Code == result.CallerGone:
+switch_off torn-answer-closes platform/ingress.go 'case outcome.HeadSent || outcome.Code == result.CallerGone:
 		// A closed connection is the only honest end of an answer that broke.
-		panic(http.ErrAbortHandler)' 'case outcome.Begun || outcome.Code == result.CallerGone:' ./platform
+		panic(http.ErrAbortHandler)' 'case outcome.HeadSent || outcome.Code == result.CallerGone:' ./platform
 switch_off whole-short-answers internal/forward/relay.go 'whole, err := io.ReadAll(io.LimitReader(reply.Body, wholeAnswerBytes))
 	if err != nil {' 'whole, err := io.ReadAll(io.LimitReader(reply.Body, wholeAnswerBytes))
 	if false && err != nil {' $forward ./platform
@@ -268,7 +268,7 @@
 # Life of a process.
 switch_off not-ready-when-stopping internal/edge/process.go 'if p.Stopping() {' 'if false {' ./internal/edge
 switch_off stop-takes-what-arrives internal/edge/process.go 'time.Sleep(min(acceptAfterStop, p.settings.Stop.Grace/2))' '' ./internal/edge
-switch_off end-answers-all internal/forward/forwarder.go 'func (f *Forwarder) End() { f.end() }' 'func (f *Forwarder) End() {}' $forward
+switch_off end-answers-all internal/forward/forwarder.go 'func (f *Forwarder) Close() { f.end() }' 'func (f *Forwarder) Close() {}' $forward
 switch_off drain-refuses internal/forward/admission.go 'return f.giveUp(flow, "the node is stopping", result.NodeDraining)' '' $forward
 switch_off log-never-blocks internal/edge/log.go 'logging.NewLogger(writer, level, node)' 'logging.NewLogger(output, level, node)' ./internal/edge
 exit $missed
