--- a/cmd/hatchplank-node/assemble.go
+++ b/cmd/hatchplank-node/assemble.go
@@ -84,7 +84,7 @@
 	limiter   *ratelimit.Limiter
 	limits    *serverlimit.Limits
 	quota     *tenants.Quota
-	counters  *orders.CountersRecord
+	counters  *orders.CountersStore
 	poison    *poison.Guard
 	notices   *notice.Board
 	forwarder *forward.Forwarder
@@ -149,23 +149,23 @@
 
 func (n *node) assembleOrders() {
 	n.election = orders.NewElection(orders.ElectionConfig{
-		Store: n.store, Prefix: ownPrefix, Self: orders.Record{Name: n.settings.Node.Name, Address: n.transport.Address()},
-		Era: n.store.Era, Lease: max(leaseTime, n.settings.Store.MinimumLease), Turn: n.turn(), Handicap: n.settings.Machine.TellTime(), Logger: n.logger,
+		Store: n.store, Prefix: ownPrefix, Self: orders.HolderRecord{Name: n.settings.Node.Name, Address: n.transport.Address()},
+		Era: n.store.Era, Lease: max(leaseTime, n.settings.Store.MinimumLease), HandoverPeriod: n.turn(), ExtraCampaignWait: n.settings.Machine.TellTime(), Logger: n.logger,
 	})
-	n.counters = &orders.CountersRecord{Store: n.store, Key: countersKey, Told: n.limiter.SetCounters, Logger: n.logger}
+	n.counters = &orders.CountersStore{Store: n.store, Key: countersKey, OnChange: n.limiter.SetCounters, Logger: n.logger}
 	n.holder = orders.NewHolder(orders.HolderConfig{
 		Election: n.election, View: n.view, Engines: &platform.Engines{Client: n.servers, Notices: n.notices}, Name: n.settings.Node.Name,
-		Counters: n.limiter.Counters, Record: n.counters, Notices: n.notices, Limits: n.limits,
-		Ceiling:   orders.CeilingLimits{Window: n.settings.Orders.LoadWindow, Overage: n.settings.Orders.LoadOverage},
+		Counters: n.limiter.Counters, SavedCounters: n.counters, Notices: n.notices, Limits: n.limits,
+		LoadRate:  orders.LoadRateLimits{Window: n.settings.Orders.LoadWindow, Overage: n.settings.Orders.LoadOverage},
 		LoadAhead: true,
 		Push:      func(address string, update orders.Update) { n.link.Push(address, update) },
-		Ordered:   n.metrics.Order, Logger: n.logger,
+		OnOrder:   n.metrics.Order, Logger: n.logger,
 	})
 	n.link = orders.NewLink(orders.LinkConfig{
 		Election: n.election, Holder: n.holder, View: n.view, Transport: n.transport,
-		Demand:  func() []forward.Demand { return n.forwarder.Demand() },
-		Wanted:  func() <-chan struct{} { return n.forwarder.Wanted() },
-		Notices: n.notices, SetNodes: n.setNodes, Counters: n.limiter.Counters, SetCounters: n.limiter.SetCounters,
+		Demand:    func() []forward.Demand { return n.forwarder.Demand() },
+		NewDemand: func() <-chan struct{} { return n.forwarder.Wanted() },
+		Notices:   n.notices, SetNodes: n.setNodes, Counters: n.limiter.Counters, SetCounters: n.limiter.SetCounters,
 		Name: n.settings.Node.Name, Address: n.transport.Address(), Logger: n.logger,
 	})
 }
@@ -174,7 +174,7 @@
 // of orders, and the nodes that count tenants where there are any, collect what all see.
 func (n *node) assemblePoison() {
 	n.poison = poison.NewGuard(poison.Config{
-		View: n.view, Connect: n.servers.Connect, Collectors: n.collectors, Followers: n.holder.Reporting,
+		View: n.view, Connect: n.servers.Connect, Collectors: n.collectors, Followers: n.holder.ReportingNodes,
 		Transport: n.transport, Address: n.transport.Address(), Store: n.store, EntriesPrefix: poisonPrefix, EndsPrefix: endsPrefix,
 		Counted: n.metrics.ServerEnded, Logger: n.logger,
 	})
@@ -207,7 +207,7 @@
 		Times: mirror.Times{
 			Contact: n.settings.Store.Contact, Changes: min(n.settings.Store.Changes, n.settings.Store.Drains),
 		},
-		Relay: n.election.HolderElsewhere, IsRelay: n.election.HoldsHere, CopyKey: copyKey,
+		Relay: n.election.RemoteHolderAddress, IsRelay: n.election.IsLocalHolder, CopyKey: copyKey,
 		LinkBytesPerSecond: n.settings.Machine.LinkBytesPerSecond(), Transport: n.transport, Address: n.transport.Address(), Zone: n.settings.Node.Zone, Logger: n.logger,
 	})
 }
--- a/internal/orders/campaign.go
+++ b/internal/orders/campaign.go
@@ -55,7 +55,7 @@
 		found.notBefore, found.enters = e.afterRestore(vacantAt), false
 	case last == nil:
 	case last.Name != e.config.Self.Name && !last.Resigned:
-		found.notBefore, found.enters = vacantAt.Add(e.config.Turn+leaseMargin), false
+		found.notBefore, found.enters = vacantAt.Add(e.config.HandoverPeriod+leaseMargin), false
 	default:
 		found.inherited, found.continues = last.inherited(), !last.Resigned
 	}
@@ -120,8 +120,8 @@
 // that is nothing, and nothing more is needed.
 func (e *Election) turnsAt(at vacancy, now time.Time) *turns {
 	known := newTurns()
-	if e.config.Turn > 0 {
-		known.wait = e.config.Turn + leaseMargin
+	if e.config.HandoverPeriod > 0 {
+		known.wait = e.config.HandoverPeriod + leaseMargin
 	}
 	if !at.enters {
 		return known
@@ -135,7 +135,7 @@
 
 // enteringRecord names this node as the last that could order, with the orders of
 // others that a successor must wait after as well.
-func (e *Election) enteringRecord(known *turns, now time.Time) Record {
+func (e *Election) enteringRecord(known *turns, now time.Time) HolderRecord {
 	record := e.self()
 	record.Recent, _ = known.recent(now)
 	return record
--- a/internal/orders/ceiling.go
+++ b/internal/orders/ceiling.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// CeilingLimits bound how many loads from the weight store begin in any window.
-type CeilingLimits struct {
+// LoadRateLimits bound how many loads from the weight store begin in any window.
+type LoadRateLimits struct {
 	Window  time.Duration
 	Overage float64
 }
@@ -27,7 +27,7 @@
 // loads under way at once, which grows while they are on time and shrinks to what
 // the store served when they slow each other down.
 type ceiling struct {
-	limits CeilingLimits
+	limits LoadRateLimits
 	tokens float64
 	at     time.Time
 	atOnce int
@@ -35,7 +35,7 @@
 	learned bool
 }
 
-func newCeiling(limits CeilingLimits) *ceiling { return &ceiling{limits: limits, atOnce: firstAtOnce} }
+func newCeiling(limits LoadRateLimits) *ceiling { return &ceiling{limits: limits, atOnce: firstAtOnce} }
 
 // expect bounds the loads under way by the time that one takes, until it is learned how
 // many the store serves: too many at once all end late, and only then tell so.
--- a/internal/orders/counters.go
+++ b/internal/orders/counters.go
@@ -44,7 +44,7 @@
 	}
 	update := Update{Token: term.Token, OrdersIn: term.ordersIn(now), Counters: h.counters}
 	h.mutex.Unlock()
-	h.config.Record.save(update.Counters, now)
+	h.config.SavedCounters.save(update.Counters, now)
 	if !changed {
 		return
 	}
@@ -64,9 +64,9 @@
 	return len(counting) == 0 || 2*heard > len(counting)
 }
 
-// Reporting returns the addresses of the nodes that report to this one, while it holds
+// ReportingNodes returns the addresses of the nodes that report to this one, while it holds
 // the orders.
-func (h *Holder) Reporting() []string {
+func (h *Holder) ReportingNodes() []string {
 	if h.config.Election.Term() == nil {
 		return nil
 	}
--- a/internal/orders/counters_record.go
+++ b/internal/orders/counters_record.go
@@ -14,15 +14,15 @@
 // saveRetry is the pause after a try to save that failed.
 const saveRetry = time.Second
 
-// CountersRecord keeps in the store which nodes count limits, so that nodes know it
+// CountersStore keeps in the store which nodes count limits, so that nodes know it
 // as soon as they have read the store, before they have heard of a holder: after a
 // loss of all nodes that takes seconds.
-type CountersRecord struct {
+type CountersStore struct {
 	Store outside.KeyValueService
 	Key   string
-	// Told is called with what the store holds.
-	Told   func(counters ratelimit.Counters)
-	Logger zerolog.Logger
+	// OnChange is called with what the store holds.
+	OnChange func(counters ratelimit.Counters)
+	Logger   zerolog.Logger
 
 	mutex sync.Mutex
 	// revision at which the record was written, as far as known.
@@ -33,7 +33,7 @@
 }
 
 // Replace takes over all keys that exist.
-func (r *CountersRecord) Replace(keyValues []outside.KeyValue) {
+func (r *CountersStore) Replace(keyValues []outside.KeyValue) {
 	for _, keyValue := range keyValues {
 		r.take(keyValue)
 	}
@@ -41,7 +41,7 @@
 
 // Restored takes over all keys that exist after the store came back from a backup. What was
 // saved since is lost.
-func (r *CountersRecord) Restored(keyValues []outside.KeyValue) {
+func (r *CountersStore) Restored(keyValues []outside.KeyValue) {
 	r.mutex.Lock()
 	r.revision, r.saved = 0, ratelimit.Counters{}
 	r.mutex.Unlock()
@@ -49,13 +49,13 @@
 }
 
 // Change takes over one key.
-func (r *CountersRecord) Change(event outside.WatchEvent) {
+func (r *CountersStore) Change(event outside.WatchEvent) {
 	if !event.Deleted {
 		r.take(event.KeyValue)
 	}
 }
 
-func (r *CountersRecord) take(keyValue outside.KeyValue) {
+func (r *CountersStore) take(keyValue outside.KeyValue) {
 	if keyValue.Key != r.Key {
 		return
 	}
@@ -67,11 +67,11 @@
 	r.mutex.Lock()
 	r.revision = max(r.revision, keyValue.ModRevision)
 	r.mutex.Unlock()
-	r.Told(counters)
+	r.OnChange(counters)
 }
 
 // save writes the counters, unless they are there or a try is under way.
-func (r *CountersRecord) save(counters ratelimit.Counters, now time.Time) {
+func (r *CountersStore) save(counters ratelimit.Counters, now time.Time) {
 	r.mutex.Lock()
 	known := r.saved.Token == counters.Token && r.saved.Version == counters.Version
 	if known || r.saving || now.Before(r.nextTry) || len(counters.Addresses) == 0 {
@@ -96,7 +96,7 @@
 
 // ended notes how a try ended. A try that met another revision is made again with
 // the one that the node learns of.
-func (r *CountersRecord) ended(counters ratelimit.Counters, began time.Time, succeeded bool, err error) {
+func (r *CountersStore) ended(counters ratelimit.Counters, began time.Time, succeeded bool, err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.saving, r.nextTry = false, began.Add(saveRetry)
--- a/internal/orders/election.go
+++ b/internal/orders/election.go
@@ -30,8 +30,8 @@
 	storeTimeout = 900 * time.Millisecond
 )
 
-// Record is the holder as it stands in the store.
-type Record struct {
+// HolderRecord is the holder as it stands in the store.
+type HolderRecord struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 	// Resigned: the node ended its term in order, and no node has ordered since.
@@ -52,7 +52,7 @@
 }
 
 // inherited is when each server may have been ordered last.
-func (r *Record) inherited() map[string]time.Time {
+func (r *HolderRecord) inherited() map[string]time.Time {
 	times := make(map[string]time.Time, len(r.Recent))
 	for server, age := range r.Recent {
 		times[server] = r.seenAt.Add(-time.Duration(age) * time.Millisecond)
@@ -66,18 +66,18 @@
 	// Prefix of the two keys: the holder, under its lease, and the one who was
 	// the last that could order, which stays.
 	Prefix string
-	Self   Record
+	Self   HolderRecord
 	// Era counts how often the store was restored from a backup; nil: never.
 	Era func() int64
 	// Lease is the time after which a holder that is not heard is replaced.
 	Lease time.Duration
-	// Turn is the time between the orders of two holders.
-	Turn time.Duration
-	// Handicap is how much longer than others this node waits before it campaigns: the
+	// HandoverPeriod is the time between the orders of two holders.
+	HandoverPeriod time.Duration
+	// ExtraCampaignWait is how much longer than others this node waits before it campaigns: the
 	// time that its machine takes to tell all nodes of a change. A holder on one of the
 	// smallest of 985 machines ran out of descriptors 14 s after the start.
-	Handicap time.Duration
-	Logger   zerolog.Logger
+	ExtraCampaignWait time.Duration
+	Logger            zerolog.Logger
 }
 
 // Election finds the one holder by a record in the store.
@@ -86,8 +86,8 @@
 
 	mutex   sync.Mutex
 	known   bool
-	holder  *Record
-	last    *Record
+	holder  *HolderRecord
+	last    *HolderRecord
 	term    *Term
 	lease   outside.LeaseID
 	changed chan struct{}
@@ -111,18 +111,18 @@
 func (e *Election) lastKey() string { return e.config.Prefix + "holder-last" }
 
 // Holder returns the current holder, if one is known.
-func (e *Election) Holder() (Record, bool) {
+func (e *Election) Holder() (HolderRecord, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.holder == nil {
-		return Record{}, false
+		return HolderRecord{}, false
 	}
 	return *e.holder, true
 }
 
-// HolderElsewhere returns the address of the holder if that is another node, else
+// RemoteHolderAddress returns the address of the holder if that is another node, else
 // an empty one.
-func (e *Election) HolderElsewhere() string {
+func (e *Election) RemoteHolderAddress() string {
 	holder, known := e.Holder()
 	if !known || holder.Address == e.config.Self.Address {
 		return ""
@@ -130,8 +130,8 @@
 	return holder.Address
 }
 
-// HoldsHere reports whether the holder, as far as known, is this node.
-func (e *Election) HoldsHere() bool {
+// IsLocalHolder reports whether the holder, as far as known, is this node.
+func (e *Election) IsLocalHolder() bool {
 	holder, known := e.Holder()
 	return known && holder.Address == e.config.Self.Address
 }
@@ -176,7 +176,7 @@
 
 // set must be called with the lock held.
 func (e *Election) set(keyValue outside.KeyValue) {
-	var record Record
+	var record HolderRecord
 	if err := json.Unmarshal(keyValue.Value, &record); err != nil {
 		e.config.Logger.Error().Err(err).Str("key", keyValue.Key).Msg("record is not understood")
 		return
@@ -198,7 +198,7 @@
 
 // endReplaced ends this node's term when a later holder's record shows. It must
 // be called with the lock held.
-func (e *Election) endReplaced(record Record) {
+func (e *Election) endReplaced(record HolderRecord) {
 	if e.term == nil || record.Revision <= e.term.revision || e.isOwn(record) {
 		return
 	}
@@ -281,7 +281,7 @@
 func (e *Election) campaignDelay(at vacancy) time.Duration {
 	wait := campaignWait(rand.Float64())
 	if at.holderRevision == 0 {
-		wait += e.config.Handicap
+		wait += e.config.ExtraCampaignWait
 	}
 	return wait
 }
--- a/internal/orders/engines.go
+++ b/internal/orders/engines.go
@@ -28,8 +28,8 @@
 const (
 	// ReplyAccepted: it is being done.
 	ReplyAccepted Reply = iota
-	// ReplyHolds: what was ordered holds already.
-	ReplyHolds
+	// ReplyAlreadyApplied: what was ordered holds already.
+	ReplyAlreadyApplied
 	// ReplyConflict: another order is under way, or others were taken before.
 	ReplyConflict
 	// ReplyFenced: a higher token was seen.
--- a/internal/orders/execute.go
+++ b/internal/orders/execute.go
@@ -100,14 +100,14 @@
 }
 
 func (h *Holder) countOrder(action placement.Action, reply Reply, sent bool, err error) {
-	if h.config.Ordered == nil || !sent {
+	if h.config.OnOrder == nil || !sent {
 		return
 	}
 	word := reply.String()
 	if err != nil {
 		word = "none"
 	}
-	h.config.Ordered(action.Kind.String(), word)
+	h.config.OnOrder(action.Kind.String(), word)
 }
 
 func (h *Holder) logOrder(order Order, action placement.Action, reply Reply, sent bool, err error) {
--- a/internal/orders/holder.go
+++ b/internal/orders/holder.go
@@ -44,21 +44,21 @@
 	Name string
 	// Counters are the nodes that count limits as this node knows.
 	Counters func() ratelimit.Counters
-	// Record keeps them in the store.
-	Record *CountersRecord
+	// SavedCounters keeps them in the store.
+	SavedCounters *CountersStore
 	// Notices are what servers told this node, or another one: backoffs and limits.
 	Notices *notice.Board
 	// Limits keep what is sent to servers within the limits that they named.
 	Limits forward.Limits
-	// Ceiling bounds the loads from the weight store.
-	Ceiling CeilingLimits
+	// LoadRate bounds the loads from the weight store.
+	LoadRate LoadRateLimits
 	// LoadAhead: models that no server holds are loaded before they are asked for.
 	LoadAhead bool
 	// Push sends an update to a node; it must not block.
 	Push func(address string, update Update)
-	// Ordered is called with each order that was sent, and its reply; nil: not
+	// OnOrder is called with each order that was sent, and its reply; nil: not
 	// called.
-	Ordered func(order, reply string)
+	OnOrder func(order, reply string)
 	Logger  zerolog.Logger
 }
 
@@ -108,7 +108,7 @@
 func (h *Holder) lead(ctx context.Context, term *Term) {
 	h.mutex.Lock()
 	h.term, h.ledger, h.pushed, h.asking = term, newLedger(), 0, &asking{}
-	h.ceiling, h.promises = newCeiling(h.config.Ceiling), newPromises()
+	h.ceiling, h.promises = newCeiling(h.config.LoadRate), newPromises()
 	h.began, h.counters = time.Now(), ratelimit.Counters{}
 	h.countersHeardAt, h.limitsPushed = h.began, 0
 	h.mutex.Unlock()
--- a/internal/orders/link.go
+++ b/internal/orders/link.go
@@ -35,8 +35,8 @@
 	Holder   *Holder
 	View     *fleet.View
 	// Demand of this node's callers, and a signal that some began to wait.
-	Demand func() []forward.Demand
-	Wanted func() <-chan struct{}
+	Demand    func() []forward.Demand
+	NewDemand func() <-chan struct{}
 	// Notices has what servers told this node of limits, and takes over what others heard.
 	Notices *notice.Board
 	// SetNodes tells how many nodes share the retry budget.
@@ -122,7 +122,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.config.Wanted():
+		case <-l.config.NewDemand():
 			clock.Sleep(ctx, wantedPause)
 		case <-l.config.Notices.News():
 			l.spreadLimits()
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -26,7 +26,7 @@
 var begin = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
 var _ = ginkgo.Describe("ceiling", func() {
-	limits := CeilingLimits{Window: 5 * time.Second, Overage: 1.1}
+	limits := LoadRateLimits{Window: 5 * time.Second, Overage: 1.1}
 
 	ginkgo.It("is kept in every window, whenever loads are asked for", func() {
 		rapid.Check(ginkgo.GinkgoT(), func(t *rapid.T) {
@@ -57,7 +57,7 @@
 	})
 
 	ginkgo.It("is kept by holders that follow each other at once", func() {
-		limits := CeilingLimits{Window: 5 * time.Second, Overage: 1.1}
+		limits := LoadRateLimits{Window: 5 * time.Second, Overage: 1.1}
 		const rate = 4.0
 		var begun []time.Time
 		now := time.Now()
--- a/internal/orders/restore.go
+++ b/internal/orders/restore.go
@@ -11,7 +11,7 @@
 // Without them it ends, as another node may become the holder at once.
 
 // self is this node's record, as it is written now.
-func (e *Election) self() Record {
+func (e *Election) self() HolderRecord {
 	record := e.config.Self
 	record.Era = e.config.Era()
 	return record
@@ -32,7 +32,7 @@
 
 // isOwn reports whether a record is the one that this node's term began with, as it stands
 // in the store since a restore. It must be called with the lock held.
-func (e *Election) isOwn(record Record) bool {
+func (e *Election) isOwn(record HolderRecord) bool {
 	return record.Name == e.config.Self.Name && record.lease == e.lease && record.lease != 0 &&
 		outside.OwnRevision(record.Revision) == outside.OwnRevision(e.term.revision)
 }
@@ -74,7 +74,7 @@
 
 // mayBeLost reports whether a node may have ordered after the last one that the store names,
 // since the record of that was lost in a restore.
-func (e *Election) mayBeLost(last *Record) bool {
+func (e *Election) mayBeLost(last *HolderRecord) bool {
 	era := e.config.Era()
 	return era > 0 && (last == nil || last.Era != era)
 }
@@ -82,11 +82,11 @@
 // afterRestore is when a node may order that does not know which one did last. Where servers
 // check no fences, that one may order until its lease has ended, and its turn follows.
 func (e *Election) afterRestore(vacantAt time.Time) time.Time {
-	notBefore := vacantAt.Add(e.config.Turn + leaseMargin)
-	if e.config.Turn == 0 {
+	notBefore := vacantAt.Add(e.config.HandoverPeriod + leaseMargin)
+	if e.config.HandoverPeriod == 0 {
 		return notBefore
 	}
-	if restored := e.restoreSeenAt().Add(e.config.Lease + e.config.Turn + leaseMargin); restored.After(notBefore) {
+	if restored := e.restoreSeenAt().Add(e.config.Lease + e.config.HandoverPeriod + leaseMargin); restored.After(notBefore) {
 		return restored
 	}
 	return notBefore
--- a/internal/orders/turns_test.go
+++ b/internal/orders/turns_test.go
@@ -32,6 +32,6 @@
 func TestRecordTellsTheLatestTimeOfAnOrder(t *testing.T) {
 	RegisterTestingT(t)
 	now := time.Now()
-	record := Record{Recent: map[string]int64{"s": 1200}, seenAt: now}
+	record := HolderRecord{Recent: map[string]int64{"s": 1200}, seenAt: now}
 	Expect(record.inherited()).To(Equal(map[string]time.Time{"s": now.Add(-1200 * time.Millisecond)}))
 }
--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -69,7 +69,7 @@
 switch_off quota-quorum internal/ratelimit/limiter.go '&& 2*heard > len(known)' '' $tenants
 switch_off quota-near-share internal/ratelimit/alone.go 'share = nearShare' 'share = 10 * nearShare' $tenants
 switch_off quota-next-counter internal/ratelimit/limiter.go 'mostAsked = 3' 'mostAsked = 1' $tenants
-switch_off quota-counters-kept internal/orders/counters.go 'h.config.Record.save(update.Counters, now)' '' ./platform
+switch_off quota-counters-kept internal/orders/counters.go 'h.config.SavedCounters.save(update.Counters, now)' '' ./platform
 switch_off quota-counters-told internal/orders/counters.go 'changed := heard &&' 'changed := false && heard &&' ./platform
 # Servers' limits.
 switch_off limit-read platform/notices.go 'told.Limit = parseLimit(text)' '_ = parseLimit(text)' ./platform
