--- a/cmd/hatchplank-node/assemble.go
+++ b/cmd/hatchplank-node/assemble.go
@@ -203,11 +203,11 @@
 // orders reads for the others.
 func (n *node) assembleMirror() {
 	n.mirror = mirror.New(mirror.Config{
-		Source: platform.NewFeed(n.store, ownPrefix, n.logger), View: n.view, Own: mirror.AllOwnKeys{n.election, n.counters, n.poison},
+		Source: platform.NewFeed(n.store, ownPrefix, n.logger), View: n.view, Own: mirror.OwnKeyReceivers{n.election, n.counters, n.poison},
 		Times: mirror.Times{
 			Contact: n.settings.Store.Contact, Changes: min(n.settings.Store.Changes, n.settings.Store.Drains),
 		},
-		Relay: n.election.HolderElsewhere, IsRelay: n.election.HoldsHere, CopyKey: copyKey,
+		Relay: n.election.HolderElsewhere, IsRelay: n.election.HoldsHere, SnapshotKey: copyKey,
 		LinkBytesPerSecond: n.settings.Machine.LinkBytesPerSecond(), Transport: n.transport, Address: n.transport.Address(), Zone: n.settings.Node.Zone, Logger: n.logger,
 	})
 }
@@ -255,7 +255,7 @@
 			holder, _ := n.election.Holder()
 			return holder.Name
 		},
-		Origins: n.holder.Origins, Relayed: n.mirror.Through, Poison: n.poison.Entries,
+		Origins: n.holder.Origins, Relayed: n.mirror.FollowsRelay, Poison: n.poison.Entries,
 	}
 }
 
@@ -272,7 +272,7 @@
 		},
 		Era:        func() float64 { return float64(n.store.Era()) },
 		Holder:     func() float64 { return oneIf(n.election.Term() != nil) },
-		Relayed:    func() float64 { return oneIf(n.mirror.Through()) },
+		Relayed:    func() float64 { return oneIf(n.mirror.FollowsRelay()) },
 		Quarantine: func() float64 { return float64(len(n.poison.Entries())) },
 		Limited:    func() float64 { return float64(n.notices.LimitedServers()) },
 	}
--- a/internal/cells/allotter.go
+++ b/internal/cells/allotter.go
@@ -14,10 +14,10 @@
 // are computed anew.
 const maxRememberedModels = 1 << 14
 
-// Allotter answers the questions to a Layout from what it computed before, so
+// CachedLayout answers the questions to a Layout from what it computed before, so
 // that planning and reporting need not hash every cell for every row. It gives
 // the same answers as the Layout. Safe for concurrent use.
-type Allotter struct {
+type CachedLayout struct {
 	layout Layout
 	hashes []uint64
 
@@ -31,9 +31,9 @@
 // location is what a cell is matched by.
 type location struct{ region, pool, zone string }
 
-// NewAllotter returns an allotter of a layout, which must not change.
-func NewAllotter(layout Layout) *Allotter {
-	a := &Allotter{layout: layout, ranked: map[string][]string{}, matching: map[location][]int{}}
+// NewCachedLayout returns an allotter of a layout, which must not change.
+func NewCachedLayout(layout Layout) *CachedLayout {
+	a := &CachedLayout{layout: layout, ranked: map[string][]string{}, matching: map[location][]int{}}
 	for i := range layout.Cells {
 		a.hashes = append(a.hashes, xxhash.Sum64String(layout.Cells[i].Name))
 	}
@@ -42,7 +42,7 @@
 
 // Allotment returns a cell's part of a row's replicas; the zero part if the row
 // gives the cell none.
-func (a *Allotter) Allotment(cell string, row table.Row) Allotment {
+func (a *CachedLayout) Allotment(cell string, row table.Row) Allotment {
 	none := Allotment{Cell: cell}
 	if len(a.layout.Cells) == 0 {
 		return none
@@ -66,7 +66,7 @@
 
 // CellsOf returns the cells that may hold replicas of a row: those that
 // Layout.Allotments names, in the same order. The slice must not be changed.
-func (a *Allotter) CellsOf(row table.Row) []string {
+func (a *CachedLayout) CellsOf(row table.Row) []string {
 	if len(a.layout.Cells) == 0 {
 		return nil
 	}
@@ -74,7 +74,7 @@
 }
 
 // cellsOf returns the first cells of a base model.
-func (a *Allotter) cellsOf(model string, count int) []string {
+func (a *CachedLayout) cellsOf(model string, count int) []string {
 	a.mutex.RLock()
 	known := a.ranked[model]
 	a.mutex.RUnlock()
@@ -97,7 +97,7 @@
 
 // ServerCell returns the cell that an engine belongs to, as Layout.ServerCell
 // does.
-func (a *Allotter) ServerCell(machine outside.Machine) (string, bool) {
+func (a *CachedLayout) ServerCell(machine outside.Machine) (string, bool) {
 	if !machine.Engine {
 		return "", false
 	}
@@ -112,7 +112,7 @@
 	return best.name, found
 }
 
-func (a *Allotter) matchingCells(machine *outside.Machine) []int {
+func (a *CachedLayout) matchingCells(machine *outside.Machine) []int {
 	at := location{region: machine.Region, pool: machine.Pool, zone: machine.Zone}
 	a.mutex.RLock()
 	indices, known := a.matching[at]
--- a/internal/cells/allotter_test.go
+++ b/internal/cells/allotter_test.go
@@ -17,7 +17,7 @@
 	It("gives each cell the part that the layout gives, also when a row changes", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			layout := layoutOf(rapid.IntRange(0, 12).Draw(t, "cells"))
-			allotter := cells.NewAllotter(layout)
+			allotter := cells.NewCachedLayout(layout)
 			for range 3 {
 				row := drawRow(t)
 				row.Name = "m"
@@ -53,7 +53,7 @@
 				Name: fmt.Sprintf("cell-%d", index), Pools: []string{"p"}, Zones: []string{fmt.Sprintf("z%d", index%3)},
 			})
 		}
-		allotter := cells.NewAllotter(layout)
+		allotter := cells.NewCachedLayout(layout)
 		for index := range 500 {
 			machine := outside.Machine{
 				Server: outside.ServerID(fmt.Sprintf("s%d", index)), Pool: "p",
@@ -69,7 +69,7 @@
 
 func BenchmarkAllotter(b *testing.B) {
 	for _, count := range []int{2, 833} {
-		allotter := cells.NewAllotter(layoutOf(count))
+		allotter := cells.NewCachedLayout(layoutOf(count))
 		b.Run(fmt.Sprintf("%d cells", count), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/mirror/copy.go
+++ b/internal/mirror/copy.go
@@ -26,7 +26,7 @@
 // noteCopy takes over the entry if the own key is that of the copy. It must be called
 // with the lock held.
 func (m *Mirror) noteCopy(event outside.WatchEvent) {
-	if event.KeyValue.Key != m.config.CopyKey || event.Deleted || event.KeyValue.ModRevision <= m.copyRevision {
+	if event.KeyValue.Key != m.config.SnapshotKey || event.Deleted || event.KeyValue.ModRevision <= m.copyRevision {
 		return
 	}
 	var entry copyEntry
@@ -161,7 +161,7 @@
 // copy, or the records themselves, will do.
 func (m *Mirror) fetchCopy(ctx context.Context, prefix string, from int64) (*recordsCopy, error) {
 	for _, stale := range []bool{true, false} {
-		parts, err := m.config.Source.ReadCopy(ctx, prefix, stale)
+		parts, err := m.config.Source.ReadSnapshot(ctx, prefix, stale)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/mirror/copy_format.go
+++ b/internal/mirror/copy_format.go
@@ -33,9 +33,9 @@
 	Parts []string `json:"parts"`
 }
 
-// CopyPart is a part of the copy, as it lies in the store. Its name begins with the zone
+// SnapshotPart is a part of the copy, as it lies in the store. Its name begins with the zone
 // of the servers in it.
-type CopyPart struct {
+type SnapshotPart struct {
 	Name  string
 	Value []byte
 }
@@ -50,7 +50,7 @@
 }
 
 // encode returns the copy in parts that the store takes, by zone.
-func (c *recordsCopy) encode() ([]CopyPart, error) {
+func (c *recordsCopy) encode() ([]SnapshotPart, error) {
 	zones := map[string]*recordsCopy{}
 	for _, record := range c.Records {
 		if zones[record.Zone] == nil {
@@ -58,7 +58,7 @@
 		}
 		zones[record.Zone].Records = append(zones[record.Zone].Records, record)
 	}
-	var parts []CopyPart
+	var parts []SnapshotPart
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
 		packed, err := zones[zone].pack()
 		if err != nil {
@@ -66,7 +66,7 @@
 		}
 		for number := 0; len(packed) > 0; number++ {
 			length := min(len(packed), copyPartBytes)
-			parts = append(parts, CopyPart{Name: fmt.Sprintf("%s%02d", zonePrefix(zone), number), Value: packed[:length]})
+			parts = append(parts, SnapshotPart{Name: fmt.Sprintf("%s%02d", zonePrefix(zone), number), Value: packed[:length]})
 			packed = packed[length:]
 		}
 	}
@@ -91,7 +91,7 @@
 
 // decodeCopy returns the records of whole zones, at the earliest of their revisions. It
 // fails on anything else.
-func decodeCopy(parts []CopyPart) (*recordsCopy, error) {
+func decodeCopy(parts []SnapshotPart) (*recordsCopy, error) {
 	zones := map[string][]byte{}
 	for _, part := range parts {
 		zone, _, _ := strings.Cut(part.Name, zonePrefix(""))
--- a/internal/mirror/copy_test.go
+++ b/internal/mirror/copy_test.go
@@ -134,7 +134,7 @@
 		time.Sleep(testTimes.Changes)
 		d.expectEqual()
 		for number, node := range d.nodes[1:] {
-			Expect(node.mirror.Through()).To(BeTrue())
+			Expect(node.mirror.FollowsRelay()).To(BeTrue())
 			Expect(node.source.count("read")).To(Equal(1), "node %d", number+1)
 			// The first hundreds come before the fleet is known to be large.
 			Expect(node.source.count("changes")-before[number+1]).To(BeNumerically("<=", 4), "node %d", number+1)
@@ -203,7 +203,7 @@
 		}
 		for number, node := range d.nodes[1:] {
 			Expect(node.source.count("changes")).To(BeZero(), "node %d", number+1)
-			Expect(node.mirror.Through()).To(BeTrue(), "node %d", number+1)
+			Expect(node.mirror.FollowsRelay()).To(BeTrue(), "node %d", number+1)
 		}
 		time.Sleep(settled)
 		d.expectEqual()
@@ -244,7 +244,7 @@
 		d.expectEqual()
 		time.Sleep(settled)
 		for number, node := range d.nodes[1:] {
-			Expect(node.mirror.Through()).To(BeTrue(), "node %d", number+1)
+			Expect(node.mirror.FollowsRelay()).To(BeTrue(), "node %d", number+1)
 			for call, most := range map[string]int{"read": 0, "own": 1, "copy": 1, "stale copy": 1, "configuration": 1, "changes": 4} {
 				Expect(node.source.count(call)-before[number+1][call]).To(BeNumerically("<=", most), "node %d, %s", number+1, call)
 			}
@@ -261,7 +261,7 @@
 		d.network.setCut(addressOf(1), false)
 		// A call to the store that has begun ends first.
 		time.Sleep(share(electionShare, testTimes.Changes) + share(aloneWaitShare, testTimes.Contact))
-		Expect(d.nodes[1].mirror.Through()).To(BeTrue())
+		Expect(d.nodes[1].mirror.FollowsRelay()).To(BeTrue())
 		Expect(d.nodes[1].source.count("changes")).To(BeNumerically("<=", 1))
 	})
 }
@@ -313,7 +313,7 @@
 	withLargeFleet(t, 2, func(d *deployment) {
 		time.Sleep(settled)
 		d.store.mutex.Lock()
-		d.store.copied = []CopyPart{{Name: "z/00", Value: []byte{1, 2, 3}}}
+		d.store.copied = []SnapshotPart{{Name: "z/00", Value: []byte{1, 2, 3}}}
 		d.store.mutex.Unlock()
 		d.nodes = append(d.nodes, d.addNode(addressOf(2)))
 		time.Sleep(copyRefresh + testTimes.Changes)
@@ -353,7 +353,7 @@
 	f.Add(parts[0].Value)
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, part []byte) {
-		found, err := decodeCopy([]CopyPart{{Name: "z/00", Value: part}})
+		found, err := decodeCopy([]SnapshotPart{{Name: "z/00", Value: part}})
 		if (found == nil) == (err == nil) {
 			t.Fatalf("neither a copy nor an error: %v, %v", found, err)
 		}
--- a/internal/mirror/copy_write.go
+++ b/internal/mirror/copy_write.go
@@ -65,5 +65,5 @@
 		return eris.Wrap(err, "encode the entry of the copied records")
 	}
 	removed := slices.DeleteFunc(slices.Clone(replaced.Parts), func(name string) bool { return slices.Contains(entry.Parts, name) })
-	return m.config.Source.WriteCopy(ctx, parts, removed, outside.KeyValue{Key: m.config.CopyKey, Value: value}, before)
+	return m.config.Source.WriteSnapshot(ctx, parts, removed, outside.KeyValue{Key: m.config.SnapshotKey, Value: value}, before)
 }
--- a/internal/mirror/fakes_test.go
+++ b/internal/mirror/fakes_test.go
@@ -27,10 +27,10 @@
 	history       []fakeChange
 	// own keys, and the copy of the records.
 	own    map[string]outside.WatchEvent
-	copied []CopyPart
+	copied []SnapshotPart
 	// behind: stale reads get the copy before the last one.
 	behind       bool
-	copiedBefore []CopyPart
+	copiedBefore []SnapshotPart
 	// forgotten: changes up to this revision are not kept.
 	forgotten int64
 	changed   chan struct{}
@@ -236,7 +236,7 @@
 	return changes, nil
 }
 
-func (s *fakeSource) ReadCopy(ctx context.Context, prefix string, stale bool) ([]CopyPart, error) {
+func (s *fakeSource) ReadSnapshot(ctx context.Context, prefix string, stale bool) ([]SnapshotPart, error) {
 	call := map[bool]string{false: "copy", true: "stale copy"}[stale]
 	if prefix != "" {
 		call = "zone's " + call
@@ -252,10 +252,10 @@
 	if stale && s.store.behind {
 		parts = s.store.copiedBefore
 	}
-	return slices.DeleteFunc(slices.Clone(parts), func(part CopyPart) bool { return !strings.HasPrefix(part.Name, prefix) }), nil
+	return slices.DeleteFunc(slices.Clone(parts), func(part SnapshotPart) bool { return !strings.HasPrefix(part.Name, prefix) }), nil
 }
 
-func (s *fakeSource) WriteCopy(ctx context.Context, parts []CopyPart, _ []string, entry outside.KeyValue, revision int64) error {
+func (s *fakeSource) WriteSnapshot(ctx context.Context, parts []SnapshotPart, _ []string, entry outside.KeyValue, revision int64) error {
 	if err := s.call(ctx, "write"); err != nil {
 		return err
 	}
@@ -322,7 +322,7 @@
 		forgotten, changes, changed := s.store.forgotten, s.store.since(after), s.store.changed
 		s.store.mutex.Unlock()
 		if after < forgotten {
-			return Changes{}, ErrHistoryGone
+			return Changes{}, ErrCompacted
 		}
 		if s.isMute() {
 			changes, changed = Changes{Base: after, At: after}, nil
@@ -534,7 +534,7 @@
 			defer d.mutex.Unlock()
 			return d.relay == address
 		},
-		CopyKey: testCopyKey,
+		SnapshotKey: testCopyKey,
 	})
 	change(n)
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -26,8 +26,8 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// ErrHistoryGone: the store does not keep the changes since the revision.
-var ErrHistoryGone = errors.New("the store forgot its history")
+// ErrCompacted: the store does not keep the changes since the revision.
+var ErrCompacted = errors.New("the store forgot its history")
 
 // Changes are what changed in the store after the revision Base, up to At.
 type Changes struct {
@@ -56,13 +56,13 @@
 	Read(ctx context.Context, whole bool) (Changes, error)
 	// Own returns the product's own keys alone, as changes since revision zero.
 	Own(ctx context.Context) (Changes, error)
-	// ReadCopy returns the parts of the copy of the servers' records whose names begin
+	// ReadSnapshot returns the parts of the copy of the servers' records whose names begin
 	// so, in order of name. Stale ones may be some seconds old, and cost less.
-	ReadCopy(ctx context.Context, prefix string, stale bool) ([]CopyPart, error)
-	// WriteCopy writes the parts and the entry that tells of them, and removes other
+	ReadSnapshot(ctx context.Context, prefix string, stale bool) ([]SnapshotPart, error)
+	// WriteSnapshot writes the parts and the entry that tells of them, and removes other
 	// parts by name, all at once, if the entry still has the revision; zero: there is
 	// none.
-	WriteCopy(ctx context.Context, parts []CopyPart, removed []string, entry outside.KeyValue, revision int64) error
+	WriteSnapshot(ctx context.Context, parts []SnapshotPart, removed []string, entry outside.KeyValue, revision int64) error
 	// Changes returns what changed after the revision; if that is nothing, it
 	// waits for changes, and may return none. ErrHistoryGone: read everything.
 	Changes(ctx context.Context, after int64, wait time.Duration) (Changes, error)
@@ -75,8 +75,8 @@
 	Decode(value []byte, revision int64) *fleet.Configuration
 }
 
-// OwnKeys receives the product's own keys in the store.
-type OwnKeys interface {
+// OwnKeyReceiver receives the product's own keys in the store.
+type OwnKeyReceiver interface {
 	// Replace gives all keys that exist.
 	Replace(keyValues []outside.KeyValue)
 	// Change gives one key that was written or removed.
@@ -86,25 +86,25 @@
 	Restored(keyValues []outside.KeyValue)
 }
 
-// AllOwnKeys hands the product's keys to each part that has some.
-type AllOwnKeys []OwnKeys
+// OwnKeyReceivers hands the product's keys to each part that has some.
+type OwnKeyReceivers []OwnKeyReceiver
 
 // Replace gives all keys that exist.
-func (a AllOwnKeys) Replace(keyValues []outside.KeyValue) {
+func (a OwnKeyReceivers) Replace(keyValues []outside.KeyValue) {
 	for _, part := range a {
 		part.Replace(keyValues)
 	}
 }
 
 // Restored gives all keys that exist after the store came back from a backup.
-func (a AllOwnKeys) Restored(keyValues []outside.KeyValue) {
+func (a OwnKeyReceivers) Restored(keyValues []outside.KeyValue) {
 	for _, part := range a {
 		part.Restored(keyValues)
 	}
 }
 
 // Change gives one key that was written or removed.
-func (a AllOwnKeys) Change(event outside.WatchEvent) {
+func (a OwnKeyReceivers) Change(event outside.WatchEvent) {
 	for _, part := range a {
 		part.Change(event)
 	}
@@ -122,7 +122,7 @@
 type Config struct {
 	Source Source
 	View   *fleet.View
-	Own    OwnKeys
+	Own    OwnKeyReceiver
 	Times  Times
 	// Relay returns the address of the node that reads for the others; empty if
 	// there is none, or if it is this node.
@@ -130,8 +130,8 @@
 	// IsRelay reports whether this node is the one that reads for the others; nil:
 	// never.
 	IsRelay func() bool
-	// CopyKey is the product's own key that tells of the copy of the servers' records.
-	CopyKey string
+	// SnapshotKey is the product's own key that tells of the copy of the servers' records.
+	SnapshotKey string
 	// LinkBytesPerSecond of this machine; zero: not known.
 	LinkBytesPerSecond float64
 	// Transport to other nodes; nil: this node reads for itself alone.
@@ -301,8 +301,8 @@
 	return readChanges
 }
 
-// Through reports whether this node reads through the relay.
-func (m *Mirror) Through() bool {
+// FollowsRelay reports whether this node reads through the relay.
+func (m *Mirror) FollowsRelay() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.through
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -39,8 +39,8 @@
 		before := d.nodes[1].source.count("changes")
 		relayed := d.nodes[0].source.count("changes")
 		d.noise(10)
-		Expect(d.nodes[1].mirror.Through()).To(BeTrue())
-		Expect(d.nodes[0].mirror.Through()).To(BeFalse())
+		Expect(d.nodes[1].mirror.FollowsRelay()).To(BeTrue())
+		Expect(d.nodes[0].mirror.FollowsRelay()).To(BeFalse())
 		Expect(d.nodes[1].source.count("changes")).To(Equal(before))
 		Expect(d.nodes[0].source.count("changes") - relayed).To(BeNumerically("<", 50))
 	})
@@ -65,7 +65,7 @@
 		d.store.restore(record)
 		relay.source.set(false, false)
 		time.Sleep(settled)
-		Expect(follower.mirror.Through()).To(BeTrue())
+		Expect(follower.mirror.FollowsRelay()).To(BeTrue())
 		Expect(follower.view.Load().Servers).To(HaveKey("s"))
 	})
 }
@@ -330,7 +330,7 @@
 		d.nodes[1].source.set(true, false)
 		d.nodes[1].mirror.noteAnswer(errAway)
 		time.Sleep(settled)
-		Expect(d.nodes[1].mirror.Through()).To(BeTrue())
+		Expect(d.nodes[1].mirror.FollowsRelay()).To(BeTrue())
 		d.store.remove("s")
 		time.Sleep(600 * time.Millisecond)
 		Expect(d.nodes[1].view.Load().Servers).NotTo(HaveKey("s"))
@@ -375,7 +375,7 @@
 		}
 		d.network.mutex.Unlock()
 		time.Sleep(settled)
-		Expect(d.nodes[1].mirror.Through()).To(BeTrue())
+		Expect(d.nodes[1].mirror.FollowsRelay()).To(BeTrue())
 	})
 }
 
--- a/internal/mirror/reading.go
+++ b/internal/mirror/reading.go
@@ -174,7 +174,7 @@
 	if ctx.Err() != nil {
 		return true
 	}
-	if !errors.Is(err, ErrHistoryGone) {
+	if !errors.Is(err, ErrCompacted) {
 		return m.failed(ctx, err)
 	}
 	m.config.Logger.Warn().Err(err).Int64("revision", after).Msg("watch lost, reading again")
--- a/internal/mirror/restore_test.go
+++ b/internal/mirror/restore_test.go
@@ -35,7 +35,7 @@
 	withNodes(t, 6, func(d *deployment) {
 		d.noise(3)
 		for _, node := range d.nodes[1:] {
-			Expect(node.mirror.Through()).To(BeTrue())
+			Expect(node.mirror.FollowsRelay()).To(BeTrue())
 		}
 		before := make([]int, len(d.nodes))
 		for number, node := range d.nodes {
@@ -50,7 +50,7 @@
 		}
 		time.Sleep(settled)
 		for _, node := range d.nodes[1:] {
-			Expect(node.mirror.Through()).To(BeTrue())
+			Expect(node.mirror.FollowsRelay()).To(BeTrue())
 		}
 	})
 }
@@ -67,7 +67,7 @@
 		d.store.goBack()
 		follower.source.set(false, false)
 		time.Sleep(settled)
-		Expect(follower.mirror.Through()).To(BeFalse())
+		Expect(follower.mirror.FollowsRelay()).To(BeFalse())
 		d.store.put("s", true, "m")
 		time.Sleep(testTimes.Changes)
 		Expect(follower.view.Load().Servers["s"].Draining).To(BeTrue())
--- a/internal/mirror/tree_test.go
+++ b/internal/mirror/tree_test.go
@@ -39,7 +39,7 @@
 		time.Sleep(share(2*relayShare, testTimes.Changes) + 50*time.Millisecond)
 		d.expectEqual()
 		for number, node := range d.nodes[1:] {
-			Expect(node.mirror.Through()).To(BeTrue(), "node %d", number+1)
+			Expect(node.mirror.FollowsRelay()).To(BeTrue(), "node %d", number+1)
 			Expect(node.source.count("changes")).To(Equal(before[number+1]), "node %d", number+1)
 		}
 	})
@@ -97,7 +97,7 @@
 				time.Sleep(settled)
 				for number, node := range d.nodes[1:] {
 					if number+1 != inner {
-						Expect(node.mirror.Through()).To(BeTrue(), "node %d", number+1)
+						Expect(node.mirror.FollowsRelay()).To(BeTrue(), "node %d", number+1)
 					}
 				}
 			})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -87,7 +87,7 @@
 	Layout     cells.Layout
 
 	// allotter answers for Layout.
-	allotter *cells.Allotter
+	allotter *cells.CachedLayout
 	random   *rand.Rand
 	stops    []func()
 	drain    drainState
@@ -104,7 +104,7 @@
 		Layout: config.Settings.Layout(),
 		random: rand.New(rand.NewPCG(config.Seed, config.Seed^0x5851f42d4c957f2d)),
 	}
-	n.allotter = cells.NewAllotter(n.Layout)
+	n.allotter = cells.NewCachedLayout(n.Layout)
 	n.buildMembership()
 	n.buildTable()
 	n.buildClaims()
