--- a/cmd/hatchplank-node/assemble.go
+++ b/cmd/hatchplank-node/assemble.go
@@ -116,7 +116,7 @@
 	n.metrics = edge.NewMetrics(n.gauges())
 	n.requests = edge.NewRequestLog(logger, n.metrics)
 	n.notices = notice.NewBoard(notice.Config{View: n.view, Counted: n.metrics.Notice, Despite: n.metrics.Despite, Limited: n.metrics.ToLimited, Logger: logger})
-	n.store.Calls = n.metrics.StoreCall
+	n.store.OnCall = n.metrics.StoreCall
 	n.store.FirstEraKey = firstEraKey
 	n.calls = quota.NewShare(quota.Rates{Reads: settings.Store.ReadsPerSecond, Writes: settings.Store.WritesPerSecond}, assumedNodes)
 	n.store.Admit = n.calls.Wait
@@ -233,8 +233,8 @@
 func (n *node) parts() edge.Parts {
 	return edge.Parts{
 		Callers: &platform.Ingress{
-			Forwarder: n.forwarder, View: n.view, Closing: n.process.Stopping, Ended: n.requests.Ended,
-			Bodies: platform.NewBodies(n.bodyBytes()),
+			Forwarder: n.forwarder, View: n.view, Closing: n.process.Stopping, OnOutcome: n.requests.Ended,
+			BodyMemory: platform.NewBodyMemory(n.bodyBytes()),
 		},
 		Metrics:    n.metrics,
 		Status:     n.status(),
--- a/cmd/hatchplank-node/limit_test.go
+++ b/cmd/hatchplank-node/limit_test.go
@@ -53,15 +53,15 @@
 	limited.SetLimit("0.5")
 	for _, node := range nodes {
 		// Each node hears it by itself.
-		before := limited.Requested()
-		for tries := 0; tries < 50 && limited.Requested() == before; tries++ {
-			Eventually(func() int { return standin.Ask(node, "/p/x", "") }, "30s").Should(Equal(http.StatusOK))
+		before := limited.RequestCount()
+		for tries := 0; tries < 50 && limited.RequestCount() == before; tries++ {
+			Eventually(func() int { return standin.Post(node, "/p/x", "") }, "30s").Should(Equal(http.StatusOK))
 		}
 	}
 	told := len(limited.Arrivals())
 	Expect(told).To(BeNumerically(">", 0))
 	for i := range 600 {
-		Expect(standin.Ask(nodes[i%len(nodes)], "/p/x", "")).To(Equal(http.StatusOK))
+		Expect(standin.Post(nodes[i%len(nodes)], "/p/x", "")).To(Equal(http.StatusOK))
 	}
 	Expect(mostInWindow(limited.Arrivals()[told:])).To(BeNumerically("<=", limitShare*perSecond*limitWindow.Seconds()+limitSlack))
 }
--- a/cmd/hatchplank-node/node_test.go
+++ b/cmd/hatchplank-node/node_test.go
@@ -119,12 +119,12 @@
 	for _, callers := range []string{first, second} {
 		for _, asked := range []struct{ path, model string }{{"/p/x", ""}, {"/s/x", "a"}, {"/s/x", "a/a1"}, {"/s/x", "b"}} {
 			Eventually(func() int {
-				return standin.Ask(callers, asked.path, asked.model)
+				return standin.Post(callers, asked.path, asked.model)
 			}, "30s").Should(Equal(http.StatusOK), asked.path+asked.model)
 		}
 	}
 	for _, engine := range d.engines {
-		Expect(engine.Overloads()).To(BeZero())
+		Expect(engine.CapacityViolations()).To(BeZero())
 	}
 }
 
@@ -133,12 +133,12 @@
 	d := newDeployment(t)
 	first, stop := d.start(t, "x")
 	Eventually(func() int {
-		return standin.Ask(first, "/s/x", "a/a1")
+		return standin.Post(first, "/s/x", "a/a1")
 	}, "30s").Should(Equal(http.StatusOK))
 	second, _ := d.start(t, "y")
 	stop()
 	Eventually(func() int {
-		return standin.Ask(second, "/s/x", "b")
+		return standin.Post(second, "/s/x", "b")
 	}, "30s").Should(Equal(http.StatusOK))
 }
 
@@ -155,7 +155,7 @@
 		return page
 	}
 	Eventually(func() bool { return page().Holds }, "30s").Should(BeTrue())
-	Eventually(func() int { return standin.Ask("http://"+process.Address(edge.Callers), "/s/x", "b") }, "30s").Should(Equal(http.StatusOK))
+	Eventually(func() int { return standin.Post("http://"+process.Address(edge.Callers), "/s/x", "b") }, "30s").Should(Equal(http.StatusOK))
 	shown := page()
 	Expect(shown.Holder).To(Equal("x"))
 	Expect(shown.Servers).To(HaveLen(3))
--- a/cmd/hatchplank-node/notice_test.go
+++ b/cmd/hatchplank-node/notice_test.go
@@ -23,21 +23,21 @@
 	d.add(t, leaving, "plain")
 	callers, _ := d.start(t, "x")
 	Eventually(func() int {
-		standin.Ask(callers, "/p/x", "")
-		return leaving.Requested()
+		standin.Post(callers, "/p/x", "")
+		return leaving.RequestCount()
 	}, "30s").Should(BeNumerically(">", 0))
 	// Its record can't tell any more.
 	d.store.SetFaults(keyvalue.Faults{Outage: true})
-	before := leaving.Requested()
+	before := leaving.RequestCount()
 	leaving.SetFaults(standin.EngineFaults{Leaving: true})
 	Eventually(func() int {
-		standin.Ask(callers, "/p/x", "")
-		return leaving.Requested()
+		standin.Post(callers, "/p/x", "")
+		return leaving.RequestCount()
 	}, "30s").Should(Equal(before + 1))
 	for range 60 {
-		Expect(standin.Ask(callers, "/p/x", "")).To(Equal(http.StatusOK))
+		Expect(standin.Post(callers, "/p/x", "")).To(Equal(http.StatusOK))
 	}
-	Expect(leaving.Requested()).To(Equal(before + 1))
+	Expect(leaving.RequestCount()).To(Equal(before + 1))
 }
 
 // Both servers that hold a model turned a node away and asked it for 3 s of rest, in which
@@ -51,16 +51,16 @@
 	RegisterTestingT(t)
 	d := newDeployment(t)
 	callers, _ := d.start(t, "x")
-	Eventually(func() int { return standin.Ask(callers, "/s/x", "a/a1") }, "30s").Should(Equal(http.StatusOK))
+	Eventually(func() int { return standin.Post(callers, "/s/x", "a/a1") }, "30s").Should(Equal(http.StatusOK))
 	before := map[*standin.Engine]int{}
 	for _, engine := range d.engines {
-		before[engine] = engine.Requested()
+		before[engine] = engine.RequestCount()
 		engine.SetFaults(standin.EngineFaults{Full: true, RetryAfter: "600"})
 	}
 	for i := range 40 {
-		Expect(standin.Ask(callers, "/s/x", []string{"a", "a/a1"}[i%2])).To(Equal(http.StatusServiceUnavailable))
+		Expect(standin.Post(callers, "/s/x", []string{"a", "a/a1"}[i%2])).To(Equal(http.StatusServiceUnavailable))
 		for _, engine := range d.engines {
-			Expect(engine.Requested()-before[engine]).To(BeNumerically("<=", 1), engine.ID)
+			Expect(engine.RequestCount()-before[engine]).To(BeNumerically("<=", 1), engine.ID)
 		}
 	}
 }
--- a/cmd/hatchplank-node/repeated_end_test.go
+++ b/cmd/hatchplank-node/repeated_end_test.go
@@ -40,11 +40,11 @@
 	engine := standin.NewEngine(fmt.Sprintf("%s-%d", m.name, len(m.engines)))
 	m.engines = append(m.engines, engine)
 	m.mutex.Unlock()
-	engine.EndsUnder = func(body string) bool { return strings.HasPrefix(body, deadly) }
+	engine.CrashesOn = func(body string) bool { return strings.HasPrefix(body, deadly) }
 	server := httptest.NewServer(engine)
 	m.t.Cleanup(server.Close)
 	var once sync.Once
-	engine.End = func() {
+	engine.Crash = func() {
 		once.Do(func() {
 			_ = server.Listener.Close()
 			server.CloseClientConnections()
@@ -102,10 +102,10 @@
 		node := nodes[tries%len(nodes)]
 		tries++
 		// Harmless requests show that there are servers to run a request.
-		Eventually(func() int { return standin.AskWith(node, "/p/x", "", "harmless") }, "30s").Should(Equal(http.StatusOK))
+		Eventually(func() int { return standin.PostBody(node, "/p/x", "", "harmless") }, "30s").Should(Equal(http.StatusOK))
 		// A caller without a key comes back from anywhere.
 		from := fmt.Sprintf("127.0.0.%d", 1+tries)
-		if status := standin.AskFrom(from, node, "/p/x", "", deadly); status == http.StatusServiceUnavailable {
+		if status := standin.PostFrom(from, node, "/p/x", "", deadly); status == http.StatusServiceUnavailable {
 			refusedInRow++
 		} else {
 			refusedInRow = 0
@@ -116,6 +116,6 @@
 	Eventually(try, "60s", "300ms").Should(Equal(2 * len(nodes)))
 	// Another request of the same caller, and the same body at another path, are served.
 	for _, node := range nodes {
-		Eventually(func() int { return standin.AskWith(node, "/p/x", "", "harmless") }, "30s").Should(Equal(http.StatusOK))
+		Eventually(func() int { return standin.PostBody(node, "/p/x", "", "harmless") }, "30s").Should(Equal(http.StatusOK))
 	}
 }
--- a/cmd/hatchplank-node/restore_test.go
+++ b/cmd/hatchplank-node/restore_test.go
@@ -68,7 +68,7 @@
 // everywhere waits until each node serves the path.
 func (d *deployment) everywhere(nodes []string, path string) {
 	for _, node := range nodes {
-		Eventually(func() int { return standin.Ask(node, path, "") }, "30s").Should(Equal(http.StatusOK), path)
+		Eventually(func() int { return standin.Post(node, path, "") }, "30s").Should(Equal(http.StatusOK), path)
 	}
 }
 
@@ -79,7 +79,7 @@
 		nodes = append(nodes, callers)
 	}
 	for _, node := range nodes {
-		Eventually(func() int { return standin.Ask(node, "/s/x", "b") }, "30s").Should(Equal(http.StatusOK))
+		Eventually(func() int { return standin.Post(node, "/s/x", "b") }, "30s").Should(Equal(http.StatusOK))
 	}
 	return nodes
 }
@@ -117,16 +117,16 @@
 			})
 			for _, node := range nodes {
 				Eventually(func() int {
-					before := next.Requested()
-					standin.Ask(node, "/p/x", "")
-					return next.Requested() - before
+					before := next.RequestCount()
+					standin.Post(node, "/p/x", "")
+					return next.RequestCount() - before
 				}, "30s").Should(Equal(1))
 			}
-			before := drains.Requested()
+			before := drains.RequestCount()
 			for _, node := range nodes {
-				Expect(standin.Ask(node, "/p/x", "")).To(Equal(http.StatusOK))
+				Expect(standin.Post(node, "/p/x", "")).To(Equal(http.StatusOK))
 			}
-			Expect(drains.Requested()).To(Equal(before))
+			Expect(drains.RequestCount()).To(Equal(before))
 		})
 	}
 }
