--- a/internal/mirror/apply.go
+++ b/internal/mirror/apply.go
@@ -7,29 +7,28 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// replace takes over everything that exists. It must be called with the lock held.
+// replace applies a read of the whole state. It must be called with the lock held.
 func (m *Mirror) replace(changes Changes) {
 	now := time.Now()
 	restored := m.enterEra(changes.At, now)
 	m.revision = changes.At
-	m.known = newKnown(max(changes.At, changes.Newest))
-	m.known.take(changes)
+	m.state = newState(max(changes.At, changes.Newest))
+	m.state.apply(changes)
 	servers := make(map[string]*fleet.Server, len(changes.Servers))
 	for id, server := range changes.Servers {
 		if server != nil {
 			servers[id] = server
 		}
 	}
-	m.partial, m.complete = false, true
-	m.addLapsed(servers, now)
-	m.keepServers(servers, now)
+	m.partial, m.initialized = false, true
+	m.addServersInGrace(servers, now)
+	m.carryOverRestore(servers, now)
 	m.config.View.ReplaceServers(servers)
 	m.replaceOwn(changes, restored)
-	m.takeRead(changes)
+	m.adoptRead(changes)
 }
 
-// replaceOwn takes over all of the product's own keys. It must be called with the
-// lock held.
+// replaceOwn applies a read of all own keys. It must be called with the lock held.
 func (m *Mirror) replaceOwn(changes Changes, restored bool) {
 	var own []outside.KeyValue
 	for _, event := range changes.Own {
@@ -37,9 +36,9 @@
 			continue
 		}
 		own = append(own, event.KeyValue)
-		m.noteCopy(event)
+		m.noteManifest(event)
 	}
-	m.ownAt = max(m.ownAt, changes.At)
+	m.ownKeysRevision = max(m.ownKeysRevision, changes.At)
 	if restored {
 		m.config.Own.Restored(own)
 		return
@@ -47,57 +46,58 @@
 	m.config.Own.Replace(own)
 }
 
-// apply takes changes over, unless all of them are known. What is known of them
-// already does no harm: the last state of each server counts, and it is at least
-// as new as what is known. It must be called with the lock held.
+// apply applies changes, unless all of them are known already or some before them are missing.
+// Changes that overlap the known state are safe to apply again: each carries the last state of a
+// server, which is at least as new as the known one. It must be called with the lock held.
 func (m *Mirror) apply(changes Changes) {
 	if changes.At <= m.revision || changes.Base > m.revision {
 		return
 	}
 	m.revision = changes.At
-	m.known.take(changes)
-	m.large = m.large || len(m.known.servers) > onePage
-	m.takeRead(changes)
-	shown := m.shown(changes.Servers, time.Now())
-	for id, server := range shown {
+	m.state.apply(changes)
+	m.largeFleet = m.largeFleet || len(m.state.servers) > maxDirectServers
+	m.adoptRead(changes)
+	visible := m.visibleChanges(changes.Servers, time.Now())
+	for id, server := range visible {
 		m.logServer(id, server, changes.At)
 	}
-	if len(shown) > 0 {
-		m.config.View.UpdateServers(shown)
+	if len(visible) > 0 {
+		m.config.View.UpdateServers(visible)
 	}
-	m.changeOwn(changes)
+	m.applyOwn(changes)
 }
 
-// changeOwn hands on the changes of own keys that were not handed on before. It must be
-// called with the lock held.
-func (m *Mirror) changeOwn(changes Changes) {
+// applyOwn passes on the changes of own keys that were not passed on before. It must be called with
+// the lock held.
+func (m *Mirror) applyOwn(changes Changes) {
 	for _, event := range changes.Own {
-		if event.KeyValue.ModRevision > m.ownAt {
-			m.noteCopy(event)
+		if event.KeyValue.ModRevision > m.ownKeysRevision {
+			m.noteManifest(event)
 			m.config.Own.Change(event)
 		}
 	}
-	m.ownAt = max(m.ownAt, changes.At)
+	m.ownKeysRevision = max(m.ownKeysRevision, changes.At)
 }
 
-// takeRead takes over the configuration that was read, to be passed on as well. It must be
-// called with the lock held.
-func (m *Mirror) takeRead(changes Changes) {
+// adoptRead applies a configuration that was read from the store, and keeps its value to be pushed
+// to subscribers. It must be called with the lock held.
+func (m *Mirror) adoptRead(changes Changes) {
 	changes = m.keepNewer(changes)
 	m.content.set(changes.ConfigurationValue, changes.ConfigurationRevision)
-	m.takeConfiguration(changes.Configuration, changes.ConfigurationRevision)
+	m.setConfiguration(changes.Configuration, changes.ConfigurationRevision)
 }
 
-// takeConfiguration must be called with the lock held; nil was not understood.
-func (m *Mirror) takeConfiguration(configuration *fleet.Configuration, revision int64) {
-	m.configuration = max(m.configuration, revision)
+// setConfiguration records that the configuration at the revision was read, and puts it into force
+// unless it is nil, which means that it could not be decoded. It must be called with the lock held.
+func (m *Mirror) setConfiguration(configuration *fleet.Configuration, revision int64) {
+	m.configurationRevision = max(m.configurationRevision, revision)
 	if configuration != nil && m.config.View.SetConfiguration(configuration) {
 		m.config.Logger.Info().Int64("version", configuration.Version).Int64("revision", configuration.Revision).
 			Int("routes", configuration.RouteCount()).Msg("configuration in force")
 	}
 }
 
-// logServer logs what routing depends on: a new server, its state, its end.
+// logServer logs changes that routing depends on: a new server, a changed state, a removal.
 func (m *Mirror) logServer(id string, server *fleet.Server, revision int64) {
 	before := m.config.View.Record(id)
 	if server == nil {
--- a/internal/mirror/copy.go
+++ b/internal/mirror/copy.go
@@ -11,163 +11,164 @@
 )
 
 const (
-	// onePage is how many servers a node reads from the store itself. A fleet with more
-	// of them is read by the relay alone: a record is 720 bytes there, so that 985 nodes
-	// that read 10,000 records each move 7 GB, 57 s of a link of 1,000 Mbit/s.
-	onePage = 500
-	// copyPatienceShare of the time for changes is how long a node without records waits
-	// for a copy before it reads all records itself, and pagePatience as long again for
-	// each page of them, by chance up to twice that: all nodes of a fleet that read 20
-	// pages each at once would keep the relay from doing so.
-	copyPatienceShare = 0.8
-	pagePatience      = time.Second
+	// maxDirectServers is the maximum number of servers whose records a node reads from the store
+	// itself; it is also the number in one page of a read. In a larger fleet only the relay reads
+	// them: a record takes 720 bytes there, so that 985 nodes that read 10,000 records each would
+	// transfer 7 GB, 57 s of a link of 1,000 Mbit/s.
+	maxDirectServers = 500
+	// snapshotWaitShare of Times.Changes is how long a node without records waits for a snapshot
+	// before it reads all records itself. For each page of records it waits pageWait longer, and up
+	// to twice that at random: if all nodes of a fleet read 20 pages each at once, they would keep
+	// the relay from reading.
+	snapshotWaitShare = 0.8
+	pageWait          = time.Second
 )
 
-// noteCopy takes over the entry if the own key is that of the copy. It must be called
+// noteManifest takes over the manifest if the own key is the one that holds it. It must be called
 // with the lock held.
-func (m *Mirror) noteCopy(event outside.WatchEvent) {
-	if event.KeyValue.Key != m.config.SnapshotKey || event.Deleted || event.KeyValue.ModRevision <= m.copyRevision {
+func (m *Mirror) noteManifest(event outside.WatchEvent) {
+	if event.KeyValue.Key != m.config.SnapshotKey || event.Deleted || event.KeyValue.ModRevision <= m.manifestRevision {
 		return
 	}
-	var entry copyEntry
-	if err := json.Unmarshal(event.KeyValue.Value, &entry); err != nil {
+	var manifest snapshotManifest
+	if err := json.Unmarshal(event.KeyValue.Value, &manifest); err != nil {
 		m.config.Logger.Error().Err(err).Msg("entry of the copied records is not understood")
 		return
 	}
-	m.copyEntry, m.copyRevision = entry, event.KeyValue.ModRevision
+	m.manifest, m.manifestRevision = manifest, event.KeyValue.ModRevision
 }
 
-// isLarge reports whether the servers' records are too many to be read by each node.
+// isLarge reports whether the fleet has too many servers for each node to read their records.
 func (m *Mirror) isLarge(own Changes) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, event := range own.Own {
-		m.noteCopy(event)
+		m.noteManifest(event)
 	}
-	m.large = m.large || m.copyEntry.Records > onePage
-	return m.large
+	m.largeFleet = m.largeFleet || m.manifest.Records > maxDirectServers
+	return m.largeFleet
 }
 
-// begin takes over what was read without the servers' records, which follow. What the
-// view shows of servers stays meanwhile.
-func (m *Mirror) begin(read Changes) {
+// beginPartial applies a read without the servers' records, which follow. Until then the view keeps
+// showing the servers known before.
+func (m *Mirror) beginPartial(read Changes) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if read.At < m.revision {
-		m.takeRead(read)
+		m.adoptRead(read)
 		return
 	}
 	now := time.Now()
 	restored := m.enterEra(read.At, now)
-	m.takeRead(read)
-	m.large, m.partial, m.partialAt, m.patience = true, true, now, m.newPatience()
-	if m.complete {
-		// A copy from before this does not tell what changed in between.
-		m.copied = max(m.copied, read.At-1)
+	m.adoptRead(read)
+	m.largeFleet, m.partial, m.partialAt, m.snapshotWait = true, true, now, m.newSnapshotWait()
+	if m.initialized {
+		// Earlier snapshots lack the changes between the state before and this read.
+		m.snapshotFloor = max(m.snapshotFloor, read.At-1)
 	}
 	m.revision, m.confirmedAt = read.At, now
-	m.known = newKnown(max(read.At, read.Newest))
-	m.known.take(Changes{At: read.At, ConfigurationRevision: read.ConfigurationRevision, Own: read.Own})
+	m.state = newState(max(read.At, read.Newest))
+	m.state.apply(Changes{At: read.At, ConfigurationRevision: read.ConfigurationRevision, Own: read.Own})
 	if m.drifted {
-		m.drifted, m.driftAt = false, now
+		m.drifted, m.driftReadAt = false, now
 	}
 	m.replaceOwn(read, restored)
 	m.config.Logger.Info().Int64("revision", read.At).Msg("configuration read, servers follow")
 }
 
-// skip takes over an update without the records that changed. A copy that has them
+// applySkipped applies an update that omits the changed records. A snapshot that contains them
 // follows. It must be called with the lock held.
-func (m *Mirror) skip(update Update, now time.Time) {
+func (m *Mirror) applySkipped(update Update, now time.Time) {
 	if update.At <= m.revision {
 		return
 	}
 	if !m.partial {
-		m.partialAt, m.patience = now, m.newPatience()
-		m.copied = max(m.copied, m.revision)
+		m.partialAt, m.snapshotWait = now, m.newSnapshotWait()
+		m.snapshotFloor = max(m.snapshotFloor, m.revision)
 		m.config.Logger.Info().Int64("revision", m.revision).Int64("newest", update.At).Msg("too many changes, servers follow")
 	}
-	configuration := m.known.configuration
-	m.large, m.partial, m.revision = true, true, update.At
-	m.known = newKnown(update.At)
-	m.known.configuration = configuration
-	m.known.takeOwn(update.Own)
+	configuration := m.state.configuration
+	m.largeFleet, m.partial, m.revision = true, true, update.At
+	m.state = newState(update.At)
+	m.state.configuration = configuration
+	m.state.applyOwn(update.Own)
 	m.replaceOwn(Changes{At: update.At, Own: update.Own}, false)
 }
 
-// recordsDue reports whether a node without the servers' records can read them now.
-// It must be called with the lock held.
+// recordsDue reports whether a node without the servers' records should read them now. It must be
+// called with the lock held.
 func (m *Mirror) recordsDue(now time.Time) bool {
-	return m.copyEntry.Revision > m.copied || m.config.IsRelay() || now.Sub(m.partialAt) > m.patience
+	return m.manifest.Revision > m.snapshotFloor || m.config.IsRelay() || now.Sub(m.partialAt) > m.snapshotWait
 }
 
-// newPatience must be called with the lock held.
-func (m *Mirror) newPatience() time.Duration {
-	pages := time.Duration(max(m.copyEntry.Records, len(m.config.View.Load().Servers)) / onePage)
-	return share(copyPatienceShare, m.config.Times.Changes) + pages*pagePatience + rand.N(pages*pagePatience+time.Second)
+// newSnapshotWait returns how long to wait for a snapshot. It must be called with the lock held.
+func (m *Mirror) newSnapshotWait() time.Duration {
+	pages := time.Duration(max(m.manifest.Records, len(m.config.View.Load().Servers)) / maxDirectServers)
+	return share(snapshotWaitShare, m.config.Times.Changes) + pages*pageWait + rand.N(pages*pageWait+time.Second)
 }
 
-// readRecords reads the copy of the servers' records; the relay, and a node that waited
-// for a copy in vain, reads the records themselves. The relay goes on meanwhile: it tells
-// the others of configurations.
+// readRecords reads the records snapshot. The relay, and a node that has waited for a snapshot in
+// vain, reads the records themselves, in the background: the relay has to push configurations to
+// the others meanwhile.
 func (m *Mirror) readRecords(ctx context.Context) {
 	m.mutex.Lock()
-	fromCopy := m.copyEntry.Revision > m.copied && !m.config.IsRelay()
-	m.reading = !fromCopy
+	fromSnapshot := m.manifest.Revision > m.snapshotFloor && !m.config.IsRelay()
+	m.readingRecords = !fromSnapshot
 	m.mutex.Unlock()
-	if fromCopy {
-		m.readCopy(ctx)
+	if fromSnapshot {
+		m.readSnapshot(ctx)
 		return
 	}
 	go func() {
 		changes, err := m.config.Source.Read(ctx, true)
-		if !m.failed(ctx, err) {
-			m.takeAll(changes)
+		if !m.callFailed(ctx, err) {
+			m.applyRead(changes)
 		}
 		m.mutex.Lock()
 		defer m.mutex.Unlock()
-		m.reading = false
+		m.readingRecords = false
 	}()
 }
 
-// readCopy reads the copy. A node that knows no servers yet uses those of its zone while
-// it reads the others: when all nodes start at once, the store's link has 985 copies to
-// carry for 2.7 s, and a sixth of that first.
-func (m *Mirror) readCopy(ctx context.Context) {
+// readSnapshot reads and applies the records snapshot. A node that knows no servers yet uses those
+// of its zone while it reads the others: when all nodes start at once, the store's link needs 2.7 s
+// to carry 985 copies of the snapshot, and a sixth of that for the zones' parts.
+func (m *Mirror) readSnapshot(ctx context.Context) {
 	m.mutex.Lock()
-	wanted, first := m.copyEntry.Revision, !m.complete && m.config.Zone != ""
+	revision, initial := m.manifest.Revision, !m.initialized && m.config.Zone != ""
 	m.mutex.Unlock()
-	if first {
-		near, err := m.fetchCopy(ctx, zonePrefix(m.config.Zone), 0)
-		if m.failed(ctx, err) {
+	if initial {
+		ofZone, err := m.fetchSnapshot(ctx, zonePrefix(m.config.Zone), 0)
+		if m.callFailed(ctx, err) {
 			return
 		}
-		m.showZone(near)
+		m.applyZoneSnapshot(ofZone)
 	}
-	found, err := m.fetchCopy(ctx, "", wanted)
-	if m.failed(ctx, err) {
+	snapshot, err := m.fetchSnapshot(ctx, "", revision)
+	if m.callFailed(ctx, err) {
 		return
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.copied = max(m.copied, wanted)
-	if found == nil || !m.partial {
+	m.snapshotFloor = max(m.snapshotFloor, revision)
+	if snapshot == nil || !m.partial {
 		return
 	}
-	m.merge(found.Records, found.Revision, found.Revision)
+	m.mergeRecords(snapshot.Records, snapshot.Revision, snapshot.Revision)
 }
 
-// fetchCopy reads parts of the copy at a tenth of a call's price, and at the whole price if
-// they are from before the revision. It returns nil for what is not understood: another
-// copy, or the records themselves, will do.
-func (m *Mirror) fetchCopy(ctx context.Context, prefix string, from int64) (*recordsCopy, error) {
+// fetchSnapshot reads parts of the snapshot with a stale read, at a tenth of a call's price, and
+// again at the full price if they are from before the revision. It returns nil if they can't be
+// decoded; another snapshot or a read of the records will take their place.
+func (m *Mirror) fetchSnapshot(ctx context.Context, prefix string, from int64) (*recordsSnapshot, error) {
 	for _, stale := range []bool{true, false} {
 		parts, err := m.config.Source.ReadSnapshot(ctx, prefix, stale)
 		if err != nil {
 			return nil, err
 		}
-		found, err := decodeCopy(parts)
-		if err == nil && found.Revision >= from {
-			return found, nil
+		snapshot, err := decodeSnapshot(parts)
+		if err == nil && snapshot.Revision >= from {
+			return snapshot, nil
 		}
 		if err != nil {
 			m.config.Logger.Error().Err(err).Bool("stale", stale).Msg("copied records are not understood")
@@ -176,64 +177,64 @@
 	return nil, nil
 }
 
-// showZone shows the servers of this node's zone while the others are not known.
-func (m *Mirror) showZone(found *recordsCopy) {
+// applyZoneSnapshot adds the servers of this node's zone to the view while the others are not
+// known.
+func (m *Mirror) applyZoneSnapshot(snapshot *recordsSnapshot) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if found == nil || !m.partial || m.complete {
+	if snapshot == nil || !m.partial || m.initialized {
 		return
 	}
 	now, sets := time.Now(), modelSets{}
-	servers := make(map[string]*fleet.Server, len(found.Records))
-	for _, record := range found.Records {
-		_, ended := m.known.ended[record.ID]
-		_, known := m.known.servers[record.ID]
-		if !ended && !known {
+	servers := make(map[string]*fleet.Server, len(snapshot.Records))
+	for _, record := range snapshot.Records {
+		_, removed := m.state.removed[record.ID]
+		_, exists := m.state.servers[record.ID]
+		if !removed && !exists {
 			servers[record.ID] = record.server(now, sets)
 		}
 	}
 	m.config.View.UpdateServers(servers)
-	m.config.Logger.Info().Int("servers", len(servers)).Int64("revision", found.Revision).Msg("servers of the zone read")
+	m.config.Logger.Info().Int("servers", len(servers)).Int64("revision", snapshot.Revision).Msg("servers of the zone read")
 }
 
-// takeRecords takes over the servers of all that was read. It must be called with the lock
-// held.
-func (m *Mirror) takeRecords(changes Changes) {
+// mergeRead applies the servers' records of a read of the whole state. It must be called with the
+// lock held.
+func (m *Mirror) mergeRead(changes Changes) {
 	records := make([]ServerRecord, 0, len(changes.Servers))
 	for _, server := range changes.Servers {
 		if server != nil {
 			records = append(records, recordOf(server))
 		}
 	}
-	m.merge(records, changes.At, max(changes.At, changes.Newest))
+	m.mergeRecords(records, changes.At, max(changes.At, changes.Newest))
 }
 
-// merge takes the records over that the store held at the revision, or read from it on up
-// to the newest, but for those of which later changes are known. It must be called with
-// the lock held.
-func (m *Mirror) merge(records []ServerRecord, revision, newest int64) {
+// mergeRecords applies records that the store held at the revision, or that were read between it
+// and newest, except those with later known changes. It must be called with the lock held.
+func (m *Mirror) mergeRecords(records []ServerRecord, revision, newest int64) {
 	now := time.Now()
 	for _, record := range records {
-		if _, ended := m.known.ended[record.ID]; ended {
+		if _, removed := m.state.removed[record.ID]; removed {
 			continue
 		}
-		if _, known := m.known.servers[record.ID]; !known {
-			m.known.set(record.ID, record, revision)
+		if _, exists := m.state.servers[record.ID]; !exists {
+			m.state.set(record.ID, record, revision)
 		}
 	}
-	servers := make(map[string]*fleet.Server, len(m.known.servers))
+	servers := make(map[string]*fleet.Server, len(m.state.servers))
 	sets := modelSets{}
-	for id, held := range m.known.servers {
-		servers[id] = held.record.server(now, sets)
+	for id, entry := range m.state.servers {
+		servers[id] = entry.record.server(now, sets)
 	}
-	// What the store held is known exactly from the latest of the revisions on; the
-	// changes after the earliest are asked for once more.
-	m.known.since = max(m.known.since, newest, m.revision)
+	// The state equals the store's only from the latest of these revisions on; the changes after
+	// the earliest are requested once more.
+	m.state.baseRevision = max(m.state.baseRevision, newest, m.revision)
 	m.revision = min(m.revision, revision)
-	m.partial, m.complete = false, true
-	m.addLapsed(servers, now)
-	m.keepServers(servers, now)
+	m.partial, m.initialized = false, true
+	m.addServersInGrace(servers, now)
+	m.carryOverRestore(servers, now)
 	m.config.View.ReplaceServers(servers)
-	m.readDone(len(servers), m.revision)
-	signal(m.missed)
+	m.noteFullRead(len(servers), m.revision)
+	signal(m.resubscribe)
 }
--- a/internal/mirror/copy_format.go
+++ b/internal/mirror/copy_format.go
@@ -17,104 +17,104 @@
 )
 
 const (
-	// copyPartBytes bounds a value: the store takes 1 MB, encoded in four thirds.
-	copyPartBytes = 700 << 10
-	// largestCopyBytes bounds what a copy may expand to: 100,000 records of 200 bytes.
-	largestCopyBytes = 20 << 20
+	// maxPartBytes bounds the value of one part: the store accepts 1 MB, and encoding adds a third.
+	maxPartBytes = 700 << 10
+	// maxSnapshotBytes bounds the decompressed size of a snapshot: 100,000 records of 200 bytes.
+	maxSnapshotBytes = 20 << 20
 )
 
-// copyEntry tells of the copy of all servers' records that the relay left in the
+// snapshotManifest describes the snapshot of all servers' records that the relay wrote to the
 // store.
-type copyEntry struct {
-	// Revision at which the store held just these records.
+type snapshotManifest struct {
+	// Revision at which the store held exactly these records.
 	Revision int64 `json:"revision"`
 	Records  int   `json:"records"`
-	// Parts are their names.
+	// Parts are the names of the snapshot's parts.
 	Parts []string `json:"parts"`
 }
 
-// SnapshotPart is a part of the copy, as it lies in the store. Its name begins with the zone
-// of the servers in it.
+// SnapshotPart is one part of the records snapshot, as stored. Its name begins with the zone of the
+// servers in it.
 type SnapshotPart struct {
 	Name  string
 	Value []byte
 }
 
-// zonePrefix begins the names of a zone's parts.
+// zonePrefix returns the prefix of the names of a zone's parts.
 func zonePrefix(zone string) string { return zone + "/" }
 
-// recordsCopy are the records of the copy: of one zone, or of all.
-type recordsCopy struct {
+// recordsSnapshot holds the records of a snapshot, of one zone or of all.
+type recordsSnapshot struct {
 	Revision int64
 	Records  []ServerRecord
 }
 
-// encode returns the copy in parts that the store takes, by zone.
-func (c *recordsCopy) encode() ([]SnapshotPart, error) {
-	zones := map[string]*recordsCopy{}
-	for _, record := range c.Records {
+// encode returns the snapshot in parts that the store accepts, by zone.
+func (s *recordsSnapshot) encode() ([]SnapshotPart, error) {
+	zones := map[string]*recordsSnapshot{}
+	for _, record := range s.Records {
 		if zones[record.Zone] == nil {
-			zones[record.Zone] = &recordsCopy{Revision: c.Revision}
+			zones[record.Zone] = &recordsSnapshot{Revision: s.Revision}
 		}
 		zones[record.Zone].Records = append(zones[record.Zone].Records, record)
 	}
 	var parts []SnapshotPart
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
-		packed, err := zones[zone].pack()
+		compressed, err := zones[zone].compress()
 		if err != nil {
 			return nil, err
 		}
-		for number := 0; len(packed) > 0; number++ {
-			length := min(len(packed), copyPartBytes)
-			parts = append(parts, SnapshotPart{Name: fmt.Sprintf("%s%02d", zonePrefix(zone), number), Value: packed[:length]})
-			packed = packed[length:]
+		for number := 0; len(compressed) > 0; number++ {
+			length := min(len(compressed), maxPartBytes)
+			parts = append(parts, SnapshotPart{Name: fmt.Sprintf("%s%02d", zonePrefix(zone), number), Value: compressed[:length]})
+			compressed = compressed[length:]
 		}
 	}
 	return parts, nil
 }
 
-// pack encodes the records of a zone.
-func (c *recordsCopy) pack() ([]byte, error) {
-	var packed bytes.Buffer
-	compressor, err := flate.NewWriter(&packed, flate.BestSpeed)
+// compress encodes and compresses the records of a zone.
+func (s *recordsSnapshot) compress() ([]byte, error) {
+	var compressed bytes.Buffer
+	compressor, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
 		return nil, eris.Wrap(err, "compress the records")
 	}
-	if err := gob.NewEncoder(compressor).Encode(c); err != nil {
+	if err := gob.NewEncoder(compressor).Encode(s); err != nil {
 		return nil, eris.Wrap(err, "encode the records")
 	}
 	if err := compressor.Close(); err != nil {
 		return nil, eris.Wrap(err, "compress the records")
 	}
-	return packed.Bytes(), nil
+	return compressed.Bytes(), nil
 }
 
-// decodeCopy returns the records of whole zones, at the earliest of their revisions. It
+// decodeSnapshot returns the records of complete zones, at the earliest of their revisions. It
 // fails on anything else.
-func decodeCopy(parts []SnapshotPart) (*recordsCopy, error) {
+func decodeSnapshot(parts []SnapshotPart) (*recordsSnapshot, error) {
 	zones := map[string][]byte{}
 	for _, part := range parts {
 		zone, _, _ := strings.Cut(part.Name, zonePrefix(""))
 		zones[zone] = append(zones[zone], part.Value...)
 	}
 	if len(zones) == 0 {
-		return nil, eris.New("the copy of the records has no parts")
+		return nil, eris.New("the records snapshot has no parts")
 	}
-	whole := &recordsCopy{Revision: math.MaxInt64}
-	for zone, packed := range zones {
-		expanded := io.LimitReader(flate.NewReader(bytes.NewReader(packed)), largestCopyBytes)
-		var found recordsCopy
-		if err := gob.NewDecoder(expanded).Decode(&found); err != nil {
-			return nil, eris.Wrapf(err, "decode the copy of the records of zone %q", zone)
+	all := &recordsSnapshot{Revision: math.MaxInt64}
+	for zone, compressed := range zones {
+		decompressed := io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxSnapshotBytes)
+		var ofZone recordsSnapshot
+		if err := gob.NewDecoder(decompressed).Decode(&ofZone); err != nil {
+			return nil, eris.Wrapf(err, "decode the records snapshot of zone %q", zone)
 		}
-		whole.Revision = min(whole.Revision, found.Revision)
-		whole.Records = append(whole.Records, found.Records...)
+		all.Revision = min(all.Revision, ofZone.Revision)
+		all.Records = append(all.Records, ofZone.Records...)
 	}
-	return whole, nil
+	return all, nil
 }
 
-// modelSets shares equal sets of models between servers, which seldom differ in them:
-// 10,000 servers with two models each otherwise take 8 MB for their maps.
+// modelSets shares equal sets of models between servers, most of which hold the same ones: the maps
+// of 10,000 servers with two models each take 8 MB otherwise.
 type modelSets map[string]map[string]fleet.Held
 
 func (s modelSets) of(models []ModelRecord) map[string]fleet.Held {
@@ -127,13 +127,13 @@
 		}
 		key.WriteByte(',')
 	}
-	found, known := s[key.String()]
-	if !known {
-		found = make(map[string]fleet.Held, len(models))
+	set, exists := s[key.String()]
+	if !exists {
+		set = make(map[string]fleet.Held, len(models))
 		for _, model := range models {
-			found[model.Name] = fleet.NewHeld(model.Adapters)
+			set[model.Name] = fleet.NewHeld(model.Adapters)
 		}
-		s[key.String()] = found
+		s[key.String()] = set
 	}
-	return found
+	return set
 }
--- a/internal/mirror/copy_write.go
+++ b/internal/mirror/copy_write.go
@@ -12,58 +12,61 @@
 )
 
 const (
-	// copyPeriodShare of the time for changes is the shortest time between two copies, so
-	// that a change which only a copy tells is known in time. A copy takes 22 ms to encode
-	// for 10,000 records.
-	copyPeriodShare = 0.3
-	// copyRefresh is how old a copy becomes although nothing changed: changes after its
-	// revision must be in the store's history, of which the users' platform keeps 20 s.
-	copyRefresh = 6 * time.Second
+	// snapshotIntervalShare of Times.Changes is the minimum time between two snapshots, short
+	// enough that a change which only a snapshot contains is known in time. A snapshot of 10,000
+	// records takes 22 ms to encode.
+	snapshotIntervalShare = 0.3
+	// maxSnapshotAge is when a snapshot is written again although nothing changed: the changes
+	// after its revision must still be in the store's history, of which the users' platform keeps
+	// 20 s.
+	maxSnapshotAge = 6 * time.Second
 )
 
-// writeCopy leaves a copy of the servers' records in the store, if this node is the
-// relay of a large fleet and they changed since the last one.
-func (m *Mirror) writeCopy(ctx context.Context, now time.Time) {
+// writeSnapshotIfDue writes a snapshot of the servers' records to the store if this node is the
+// relay of a large fleet and the last snapshot is outdated.
+func (m *Mirror) writeSnapshotIfDue(ctx context.Context, now time.Time) {
 	m.mutex.Lock()
-	age := now.Sub(m.copyAt)
-	outdated := m.known.recordsAt > m.copyEntry.Revision && age >= share(copyPeriodShare, m.config.Times.Changes) || age >= copyRefresh
-	exact := !m.partial && m.revision >= m.known.since
-	if !m.large || !exact || !outdated || m.copying || !m.config.IsRelay() {
+	age := now.Sub(m.snapshotStartedAt)
+	outdated := m.state.recordsRevision > m.manifest.Revision && age >= share(snapshotIntervalShare, m.config.Times.Changes) || age >= maxSnapshotAge
+	exact := !m.partial && m.revision >= m.state.baseRevision
+	if !m.largeFleet || !exact || !outdated || m.writingSnapshot || !m.config.IsRelay() {
 		m.mutex.Unlock()
 		return
 	}
-	m.copying, m.copyAt = true, now
-	content, entry, before := recordsCopy{Revision: m.revision, Records: m.known.records()}, m.copyEntry, m.copyRevision
+	m.writingSnapshot, m.snapshotStartedAt = true, now
+	snapshot, replaced, revision := recordsSnapshot{Revision: m.revision, Records: m.state.records()}, m.manifest, m.manifestRevision
 	m.mutex.Unlock()
-	go m.storeCopy(ctx, content, entry, before)
+	go m.writeSnapshot(ctx, snapshot, replaced, revision)
 }
 
-// storeCopy replaces the copy of which the entry tells that has the revision.
-func (m *Mirror) storeCopy(ctx context.Context, content recordsCopy, replaced copyEntry, before int64) {
-	err := m.sendCopy(ctx, content, replaced, before)
+// writeSnapshot writes a snapshot in place of the one that the manifest describes, provided that the
+// manifest's key still has the revision, and logs the result.
+func (m *Mirror) writeSnapshot(ctx context.Context, snapshot recordsSnapshot, replaced snapshotManifest, revision int64) {
+	err := m.storeSnapshot(ctx, snapshot, replaced, revision)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.copying = false
+	m.writingSnapshot = false
 	event := m.config.Logger.Info()
 	if err != nil {
 		event = m.config.Logger.Warn().Err(err)
 	}
-	event.Int64("revision", content.Revision).Int("servers", len(content.Records)).Msg("records copied to the store")
+	event.Int64("revision", snapshot.Revision).Int("servers", len(snapshot.Records)).Msg("records copied to the store")
 }
 
-func (m *Mirror) sendCopy(ctx context.Context, content recordsCopy, replaced copyEntry, before int64) error {
-	parts, err := content.encode()
+// storeSnapshot encodes a snapshot and writes it to the store.
+func (m *Mirror) storeSnapshot(ctx context.Context, snapshot recordsSnapshot, replaced snapshotManifest, revision int64) error {
+	parts, err := snapshot.encode()
 	if err != nil {
 		return err
 	}
-	entry := copyEntry{Revision: content.Revision, Records: len(content.Records)}
+	manifest := snapshotManifest{Revision: snapshot.Revision, Records: len(snapshot.Records)}
 	for _, part := range parts {
-		entry.Parts = append(entry.Parts, part.Name)
+		manifest.Parts = append(manifest.Parts, part.Name)
 	}
-	value, err := json.Marshal(entry)
+	value, err := json.Marshal(manifest)
 	if err != nil {
-		return eris.Wrap(err, "encode the entry of the copied records")
+		return eris.Wrap(err, "encode the manifest of the records snapshot")
 	}
-	removed := slices.DeleteFunc(slices.Clone(replaced.Parts), func(name string) bool { return slices.Contains(entry.Parts, name) })
-	return m.config.Source.WriteSnapshot(ctx, parts, removed, outside.KeyValue{Key: m.config.SnapshotKey, Value: value}, before)
+	removed := slices.DeleteFunc(slices.Clone(replaced.Parts), func(name string) bool { return slices.Contains(manifest.Parts, name) })
+	return m.config.Source.WriteSnapshot(ctx, parts, removed, outside.KeyValue{Key: m.config.SnapshotKey, Value: value}, revision)
 }
--- a/internal/mirror/digest.go
+++ b/internal/mirror/digest.go
@@ -6,24 +6,23 @@
 	"time"
 )
 
-// driftPause is the shortest time between two reads of everything because of a
-// difference in digests, so that a difference that a read does not mend costs
-// little: an estimate, not measured.
-const driftPause = 30 * time.Second
+// driftReadInterval is the minimum time between two reads of the whole state because of differing
+// digests, so that a difference which reading does not remove costs few calls.
+const driftReadInterval = 30 * time.Second
 
-// Digest is noRecords and a sum of hashes over a set of records, whatever their
-// order. Zero says that there is nothing to compare.
+// Digest is emptyDigest plus the sum of the hashes of a set of records, whatever their order. Zero
+// means that there is nothing to compare.
 type Digest uint64
 
-// noRecords is the digest of an empty set.
-const noRecords Digest = 1
+// emptyDigest is the digest of an empty set.
+const emptyDigest Digest = 1
 
 func (d *Digest) add(record ServerRecord) { *d += Digest(record.hash()) }
 
-// remove takes a record out that is part of the set.
+// remove removes a record that is in the set.
 func (d *Digest) remove(record ServerRecord) { *d -= Digest(record.hash()) }
 
-// hash depends on all that equal compares but the birth.
+// hash covers all fields that equal compares, except Born.
 func (r ServerRecord) hash() uint64 {
 	var encoded []byte
 	text := func(value string) {
@@ -48,30 +47,29 @@
 		}
 	}
 	hash := fnv.New64a()
-	_, _ = hash.Write(encoded) // A hash takes everything.
+	_, _ = hash.Write(encoded) // Writing to a hash never fails.
 	return hash.Sum64()
 }
 
-// digestNow is the digest of what the store held at the revision up to which
-// everything is known; zero if that is not known exactly. It must be called with
-// the lock held.
-func (m *Mirror) digestNow() Digest {
-	if m.revision == 0 || m.partial || m.revision < m.known.since {
+// currentDigest is the digest of the records that the store held at revision; zero if they are not
+// known exactly. It must be called with the lock held.
+func (m *Mirror) currentDigest() Digest {
+	if m.revision == 0 || m.partial || m.revision < m.state.baseRevision {
 		return 0
 	}
-	return m.known.digest
+	return m.state.digest
 }
 
-// compare reads everything again if another node knows other records for the same
-// revision. Which of the two is wrong can't be seen, so both do. It must be called
-// with the lock held.
-func (m *Mirror) compare(other Digest, revision int64, node string, now time.Time) {
-	own := m.digestNow()
+// compareDigest makes this node read the whole state again if another node has other records for
+// the same revision. It can't be determined which of the two is wrong, so both read again. It must
+// be called with the lock held.
+func (m *Mirror) compareDigest(other Digest, revision int64, node string, now time.Time) {
+	own := m.currentDigest()
 	if other == 0 || own == 0 || other == own || revision != m.revision {
 		return
 	}
-	m.drifted = m.driftAt.IsZero() || now.Sub(m.driftAt) >= driftPause
+	m.drifted = m.driftReadAt.IsZero() || now.Sub(m.driftReadAt) >= driftReadInterval
 	m.config.Logger.Warn().Str("node", node).Int64("revision", revision).Uint64("digest", uint64(own)).
-		Uint64("digest_there", uint64(other)).Int("servers", len(m.known.servers)).Bool("reads_again", m.drifted).
+		Uint64("digest_there", uint64(other)).Int("servers", len(m.state.servers)).Bool("reads_again", m.drifted).
 		Msg("servers known differ between nodes")
 }
--- a/internal/mirror/election_test.go
+++ b/internal/mirror/election_test.go
@@ -8,15 +8,15 @@
 	. "github.com/onsi/gomega"
 )
 
-// A start at which servers write their records all the time and no relay is known yet:
-// each node learns at once who became it, by one call.
-func TestNodesLearnOfAnElectionBesideNoise(t *testing.T) {
+// Servers write their records all the time at a start and there is no relay yet: each node notices
+// at once who was elected, with one call.
+func TestNodesNoticeAnElectionAmidServerChanges(t *testing.T) {
 	withNodes(t, 4, func(d *deployment) {
 		d.mutex.Lock()
 		d.relay = ""
 		d.mutex.Unlock()
 		d.nodes[0].stop()
-		time.Sleep(d.nodes[0].mirror.trust() + 50*time.Millisecond)
+		time.Sleep(d.nodes[0].mirror.maxRelayAge() + 50*time.Millisecond)
 		before := d.nodes[1].source.count("own changes")
 		for number := range 10 {
 			d.store.put(fmt.Sprint("t", number), false)
@@ -28,7 +28,7 @@
 			Expect(node.own.get("own/holder")).To(Equal("a"))
 		}
 		Expect(d.nodes[1].source.count("own changes") - before).To(BeNumerically("<=", 2))
-		// Without a relay everything is watched again.
+		// Without a relay the whole state is watched again.
 		time.Sleep(testTimes.Changes)
 		d.nodes = d.nodes[1:]
 		d.expectEqual()
--- a/internal/mirror/fakes_test.go
+++ b/internal/mirror/fakes_test.go
@@ -17,7 +17,7 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// fakeStore is what all nodes of a test read.
+// fakeStore is the store that all nodes of a test read.
 type fakeStore struct {
 	mutex         sync.Mutex
 	revision      int64
@@ -25,14 +25,14 @@
 	configuration *fleet.Configuration
 	configuredAt  int64
 	history       []fakeChange
-	// own keys, and the copy of the records.
-	own    map[string]outside.WatchEvent
-	copied []SnapshotPart
-	// behind: stale reads get the copy before the last one.
-	behind       bool
-	copiedBefore []SnapshotPart
-	// forgotten: changes up to this revision are not kept.
-	forgotten int64
+	// own keys, and the parts of the records snapshot.
+	own      map[string]outside.WatchEvent
+	snapshot []SnapshotPart
+	// staleReads: stale reads return the snapshot before the last one.
+	staleReads       bool
+	previousSnapshot []SnapshotPart
+	// compacted: changes up to this revision are not kept.
+	compacted int64
 	changed   chan struct{}
 }
 
@@ -84,10 +84,10 @@
 	s.changed = make(chan struct{})
 }
 
-// configure writes a configuration, understood or not.
-func (s *fakeStore) configure(understood bool) {
+// configure writes a configuration that can be decoded, or one that can't.
+func (s *fakeStore) configure(valid bool) {
 	change := fakeChange{configured: true}
-	if understood {
+	if valid {
 		change.configuration = &fleet.Configuration{}
 	}
 	s.add(change)
@@ -103,23 +103,23 @@
 
 func (s *fakeStore) remove(id string) { s.add(fakeChange{server: id}) }
 
-// restore writes a record that lapsed once more.
-func (s *fakeStore) restore(record *fleet.Server) {
-	again := *record
-	s.add(fakeChange{server: record.ID, record: &again})
+// recreate writes an expired record again.
+func (s *fakeStore) recreate(record *fleet.Server) {
+	copied := *record
+	s.add(fakeChange{server: record.ID, record: &copied})
 }
 
 func (s *fakeStore) putOwn(key, value string) {
 	s.add(fakeChange{own: &outside.WatchEvent{KeyValue: outside.KeyValue{Key: key, Value: []byte(value)}}})
 }
 
-func (s *fakeStore) forget() {
+func (s *fakeStore) compact() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.forgotten, s.history = s.revision, nil
+	s.compacted, s.history = s.revision, nil
 }
 
-// since must be called with the lock held.
+// since returns the changes after the revision. It must be called with the lock held.
 func (s *fakeStore) since(revision int64) Changes {
 	changes := Changes{Base: revision, At: s.revision, Servers: map[string]*fleet.Server{}}
 	for _, change := range s.history {
@@ -128,10 +128,10 @@
 		}
 		switch {
 		case change.configured:
-			changes.ConfigurationRevision, changes.ConfigurationValue = change.revision, []byte(otherValue)
+			changes.ConfigurationRevision, changes.ConfigurationValue = change.revision, []byte(invalidValue)
 			changes.Configuration = change.configuration
 			if change.configuration != nil {
-				changes.ConfigurationValue = []byte(understoodValue)
+				changes.ConfigurationValue = []byte(validValue)
 			}
 		case change.own != nil:
 			changes.Own = append(changes.Own, *change.own)
@@ -142,63 +142,63 @@
 	return changes
 }
 
-// fakeSource is one node's way to the store.
+// fakeSource is one node's connection to the store.
 type fakeSource struct {
 	store *fakeStore
 	mutex sync.Mutex
-	// away: calls fail; silent: they are not answered.
-	away, silent bool
-	// mute: watches hear nothing of what changes.
-	mute bool
-	// wholeTime is how long a read of everything takes.
-	wholeTime time.Duration
-	// copyTime is how long a read of the whole copy takes.
-	copyTime time.Duration
-	// calls by name.
+	// unavailable: calls fail; unresponsive: they are not answered.
+	unavailable, unresponsive bool
+	// stalled: watches deliver no changes.
+	stalled bool
+	// readTime is how long a read of the whole state takes.
+	readTime time.Duration
+	// snapshotTime is how long a read of the whole snapshot takes.
+	snapshotTime time.Duration
+	// calls counts the calls by name.
 	calls map[string]int
 }
 
-var errAway = errors.New("the store is away")
+var errUnavailable = errors.New("the store is unavailable")
 
 func (s *fakeSource) call(ctx context.Context, name string) error {
 	s.mutex.Lock()
 	s.calls[name]++
-	away, silent := s.away, s.silent
+	unavailable, unresponsive := s.unavailable, s.unresponsive
 	s.mutex.Unlock()
-	if silent {
+	if unresponsive {
 		select {
 		case <-ctx.Done():
 		case <-time.After(3 * time.Second):
 		}
-		return errAway
+		return errUnavailable
 	}
 	time.Sleep(4 * time.Millisecond)
-	if away {
-		return errAway
+	if unavailable {
+		return errUnavailable
 	}
 	return ctx.Err()
 }
 
-func (s *fakeSource) set(away, silent bool) {
+func (s *fakeSource) setFault(unavailable, unresponsive bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.away, s.silent = away, silent
+	s.unavailable, s.unresponsive = unavailable, unresponsive
 }
 
-func (s *fakeSource) isMute() bool {
+func (s *fakeSource) isStalled() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.mute
+	return s.stalled
 }
 
-func (s *fakeSource) setMute(mute bool) {
+func (s *fakeSource) setStalled(stalled bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.mute = mute
+	s.stalled = stalled
 }
 
-// all returns the numbers of calls by name.
-func (s *fakeSource) all() map[string]int {
+// counts returns the number of calls by name.
+func (s *fakeSource) counts() map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return maps.Clone(s.calls)
@@ -210,14 +210,14 @@
 	return s.calls[name]
 }
 
-// understoodValue and others are the values of configurations.
-const understoodValue, otherValue = "understood", "other"
+// validValue and invalidValue are values of configurations that can be decoded and that can't.
+const validValue, invalidValue = "understood", "other"
 
 func (s *fakeSource) Decode(value []byte, revision int64) *fleet.Configuration {
 	s.mutex.Lock()
 	s.calls["decode"]++
 	s.mutex.Unlock()
-	if string(value) != understoodValue {
+	if string(value) != validValue {
 		return nil
 	}
 	return fleet.NewConfiguration(revision, revision, nil, nil, fleet.Limits{})
@@ -241,16 +241,16 @@
 	if prefix != "" {
 		call = "zone's " + call
 	} else {
-		time.Sleep(s.copyTime)
+		time.Sleep(s.snapshotTime)
 	}
 	if err := s.call(ctx, call); err != nil {
 		return nil, err
 	}
 	s.store.mutex.Lock()
 	defer s.store.mutex.Unlock()
-	parts := s.store.copied
-	if stale && s.store.behind {
-		parts = s.store.copiedBefore
+	parts := s.store.snapshot
+	if stale && s.store.staleReads {
+		parts = s.store.previousSnapshot
 	}
 	return slices.DeleteFunc(slices.Clone(parts), func(part SnapshotPart) bool { return !strings.HasPrefix(part.Name, prefix) }), nil
 }
@@ -262,9 +262,9 @@
 	s.store.mutex.Lock()
 	if s.store.own[entry.Key].KeyValue.ModRevision != revision {
 		s.store.mutex.Unlock()
-		return errors.New("another was first")
+		return errors.New("another node wrote the entry first")
 	}
-	s.store.copiedBefore, s.store.copied = s.store.copied, parts
+	s.store.previousSnapshot, s.store.snapshot = s.store.snapshot, parts
 	s.store.mutex.Unlock()
 	s.store.putOwn(entry.Key, string(entry.Value))
 	return nil
@@ -274,24 +274,24 @@
 	if err := s.call(ctx, "read"); err != nil {
 		return Changes{}, err
 	}
-	if !whole && s.store.count() > onePage {
+	if !whole && s.store.count() > maxDirectServers {
 		revision, changes := s.page(func(string) bool { return false })
 		changes.At, changes.Newest, changes.More = revision, revision, true
 		return changes, nil
 	}
 	first, changes := s.page(func(id string) bool { return id < "u" })
-	time.Sleep(pagePause + s.wholeTime)
+	time.Sleep(pagePause + s.readTime)
 	newest, second := s.page(func(id string) bool { return id >= "u" })
 	maps.Copy(changes.Servers, second.Servers)
 	changes.At, changes.Newest = first, newest
 	return changes, nil
 }
 
-// pagePause is the time between the two pages of a read of everything, which is
-// therefore no snapshot.
+// pagePause is the time between the two pages of a read of the whole state, which is therefore not
+// consistent at one revision.
 const pagePause = 20 * time.Millisecond
 
-// page reads the configuration and the servers that are wanted, and the revision.
+// page returns the store's revision, the configuration and the wanted servers.
 func (s *fakeSource) page(wanted func(id string) bool) (int64, Changes) {
 	s.store.mutex.Lock()
 	defer s.store.mutex.Unlock()
@@ -313,18 +313,18 @@
 	return s.await(ctx, after, wait)
 }
 
-// await returns what changed, or nothing when the wait is over.
+// await returns the changes after the revision, or none when the wait is over.
 func (s *fakeSource) await(ctx context.Context, after int64, wait time.Duration) (Changes, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		s.store.mutex.Lock()
-		forgotten, changes, changed := s.store.forgotten, s.store.since(after), s.store.changed
+		compacted, changes, changed := s.store.compacted, s.store.since(after), s.store.changed
 		s.store.mutex.Unlock()
-		if after < forgotten {
+		if after < compacted {
 			return Changes{}, ErrCompacted
 		}
-		if s.isMute() {
+		if s.isStalled() {
 			changes, changed = Changes{Base: after, At: after}, nil
 		}
 		if changes.At > after {
@@ -363,7 +363,7 @@
 	defer s.store.mutex.Unlock()
 	return Changes{
 		At: s.store.revision, Configuration: s.store.configuration, ConfigurationRevision: s.store.configuredAt,
-		ConfigurationValue: []byte(understoodValue),
+		ConfigurationValue: []byte(validValue),
 	}, nil
 }
 
@@ -371,10 +371,11 @@
 type fakeNetwork struct {
 	mutex sync.Mutex
 	nodes map[string]*fakeTransport
-	// cut nodes neither send nor receive; lose drops the next so many updates.
-	cut  map[string]bool
-	lose int
-	// sent messages by type.
+	// partitioned nodes neither send nor receive; dropUpdates is how many of the next updates are
+	// dropped.
+	partitioned map[string]bool
+	dropUpdates int
+	// sent counts the messages by type.
 	sent    map[string]int
 	updates []Update
 }
@@ -394,7 +395,7 @@
 }
 
 func (t *fakeTransport) Call(address string, message peer.Message, timeout time.Duration, done func(peer.Message, error)) {
-	target := t.network.pass(t.address, address, message)
+	target := t.network.route(t.address, address, message)
 	go func() {
 		if target == nil {
 			time.Sleep(timeout)
@@ -406,8 +407,8 @@
 	}()
 }
 
-// pass returns the receiver of a message, or nil if it is lost.
-func (n *fakeNetwork) pass(from, to string, message peer.Message) *fakeTransport {
+// route returns the receiver of a message, or nil if it is dropped.
+func (n *fakeNetwork) route(from, to string, message peer.Message) *fakeTransport {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.sent[reflect.TypeOf(message).Name()]++
@@ -415,23 +416,23 @@
 	if isUpdate {
 		n.updates = append(n.updates, update)
 	}
-	if n.cut[from] || n.cut[to] {
+	if n.partitioned[from] || n.partitioned[to] {
 		return nil
 	}
-	if isUpdate && n.lose > 0 {
-		n.lose--
+	if isUpdate && n.dropUpdates > 0 {
+		n.dropUpdates--
 		return nil
 	}
 	return n.nodes[to]
 }
 
-func (n *fakeNetwork) setCut(address string, cut bool) {
+func (n *fakeNetwork) setPartitioned(address string, cut bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.cut[address] = cut
+	n.partitioned[address] = cut
 }
 
-// fakeOwn keeps the product's own keys.
+// fakeOwn records the values of the own keys.
 type fakeOwn struct {
 	mutex  sync.Mutex
 	values map[string]string
@@ -459,7 +460,7 @@
 	return o.values[key]
 }
 
-// testNode is a node of a test.
+// testNode is a node of a test with its fakes.
 type testNode struct {
 	mirror *Mirror
 	view   *fleet.View
@@ -468,7 +469,7 @@
 	stop   context.CancelFunc
 }
 
-// revision of the configuration in force.
+// revision returns the revision of the configuration in force.
 func (n *testNode) revision() int64 {
 	if configuration := n.view.Load().Configuration; configuration != nil {
 		return configuration.Revision
@@ -476,10 +477,10 @@
 	return 0
 }
 
-// testCopyKey tells of the copied records.
-const testCopyKey = "own/records"
+// testSnapshotKey holds the manifest of the records snapshot.
+const testSnapshotKey = "own/records"
 
-// deployment is a store with nodes; the first one is everybody's relay.
+// deployment is a store with nodes, all of which use the first one as relay.
 type deployment struct {
 	store   *fakeStore
 	network *fakeNetwork
@@ -496,7 +497,7 @@
 func newDeployment(nodes int) *deployment {
 	d := &deployment{
 		store: newFakeStore(), relay: addressOf(0),
-		network: &fakeNetwork{nodes: map[string]*fakeTransport{}, cut: map[string]bool{}, sent: map[string]int{}},
+		network: &fakeNetwork{nodes: map[string]*fakeTransport{}, partitioned: map[string]bool{}, sent: map[string]int{}},
 	}
 	d.store.configure(true)
 	d.store.put("s", false, "m")
@@ -510,7 +511,7 @@
 	return d.addNodeWith(address, func(*testNode) {})
 }
 
-// addNodeWith adds a node that is changed before it starts.
+// addNodeWith adds a node that is modified before it starts.
 func (d *deployment) addNodeWith(address string, change func(n *testNode)) *testNode {
 	transport := &fakeTransport{network: d.network, address: address, handlers: map[reflect.Type]peer.Handler{}}
 	d.network.mutex.Lock()
@@ -534,7 +535,7 @@
 			defer d.mutex.Unlock()
 			return d.relay == address
 		},
-		SnapshotKey: testCopyKey,
+		SnapshotKey: testSnapshotKey,
 	})
 	change(n)
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/mirror/known.go
+++ b/internal/mirror/known.go
@@ -10,160 +10,164 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// mostEnded keys that are gone are remembered, so that others can be told.
-const mostEnded = 512
-
-// known is what a node can tell others of the store: for each key its last state,
-// with the revision of the last change that matters to others. A server that only
-// wrote the same record once more did not change.
-type known struct {
-	// since: what changed at this revision or before can't be told, and what is
-	// known is exactly what the store held at a revision only from this one on.
-	since int64
-	// configuration is the newest one's revision.
+// maxRemoved is the maximum number of removed servers that are remembered, so that their removal
+// can be reported to others.
+const maxRemoved = 512
+
+// state is what a node can report to others of the store: for each key its last state, with the
+// revision of the last change that matters to others. A server that only wrote the same record
+// again did not change.
+type state struct {
+	// baseRevision: changes at this revision or before can't be reported, and only from this one on
+	// does the state equal exactly what the store held at a revision.
+	baseRevision int64
+	// configuration is the revision of the newest one.
 	configuration int64
-	servers       map[string]knownServer
+	servers       map[string]versionedRecord
 	own           map[string]outside.WatchEvent
-	// ended servers, by the revision at which they were seen to be gone.
-	ended map[string]int64
+	// removed servers, with the revision at which their removal was observed.
+	removed map[string]int64
 	// digest of all servers' records.
 	digest Digest
-	// recordsAt is the revision of the last change of a record or end of a server.
-	recordsAt int64
-	// changed servers, in order of the revisions at which they did; those that changed
-	// once more stand in it twice.
+	// recordsRevision is the revision of the last change or removal of a record.
+	recordsRevision int64
+	// changed servers, in order of the revisions of their changes. One that changed several times
+	// has an entry for each change.
 	changed []changedServer
 }
 
-// changedServer is a server whose record changed, or that ended, at a revision.
+// changedServer is a server whose record changed or was removed at a revision.
 type changedServer struct {
 	revision int64
 	id       string
 }
 
-type knownServer struct {
+// versionedRecord is a record with the revision of its last change.
+type versionedRecord struct {
 	record   ServerRecord
 	revision int64
 }
 
-// newKnown returns what is known when changes after the revision can be told.
-func newKnown(since int64) *known {
-	return &known{
-		since: since, servers: map[string]knownServer{}, own: map[string]outside.WatchEvent{}, ended: map[string]int64{},
-		digest: noRecords,
+// newState returns an empty state from which changes after the revision can be reported.
+func newState(baseRevision int64) *state {
+	return &state{
+		baseRevision: baseRevision, servers: map[string]versionedRecord{}, own: map[string]outside.WatchEvent{}, removed: map[string]int64{},
+		digest: emptyDigest,
 	}
 }
 
-// take notes changes. All of them count as made at the last revision, which is
-// late enough for everyone who knows less.
-func (k *known) take(changes Changes) {
-	k.configuration = max(k.configuration, changes.ConfigurationRevision)
+// apply applies changes. All of them are recorded as made at the last revision, which is late
+// enough for everyone whose state is older.
+func (s *state) apply(changes Changes) {
+	s.configuration = max(s.configuration, changes.ConfigurationRevision)
 	for id, server := range changes.Servers {
 		if server == nil {
-			k.end(id, changes.At)
+			s.remove(id, changes.At)
 		} else {
-			k.set(id, recordOf(server), changes.At)
+			s.set(id, recordOf(server), changes.At)
 		}
 	}
-	k.takeOwn(changes.Own)
-	k.bound()
+	s.applyOwn(changes.Own)
+	s.trim()
 }
 
-func (k *known) takeOwn(events []outside.WatchEvent) {
+// applyOwn records the last event of each own key.
+func (s *state) applyOwn(events []outside.WatchEvent) {
 	for _, event := range events {
-		k.own[event.KeyValue.Key] = event
+		s.own[event.KeyValue.Key] = event
 	}
 }
 
-// set notes a server's record, unless the same is known.
-func (k *known) set(id string, record ServerRecord, revision int64) {
-	before, exists := k.servers[id]
+// set records a server's record, unless the same one is known.
+func (s *state) set(id string, record ServerRecord, revision int64) {
+	before, exists := s.servers[id]
 	if exists && before.record.equal(record) {
 		return
 	}
 	if exists {
-		k.digest.remove(before.record)
+		s.digest.remove(before.record)
 	}
-	k.digest.add(record)
-	delete(k.ended, id)
-	k.servers[id] = knownServer{record: record, revision: revision}
-	k.note(id, revision)
+	s.digest.add(record)
+	delete(s.removed, id)
+	s.servers[id] = versionedRecord{record: record, revision: revision}
+	s.recordChange(id, revision)
 }
 
-// note must be called with revisions that don't fall, but for those up to since, which
-// are never told.
-func (k *known) note(id string, revision int64) {
-	k.recordsAt = max(k.recordsAt, revision)
-	if revision > k.since {
-		k.changed = append(k.changed, changedServer{revision, id})
+// recordChange records that a server changed. It must be called with non-decreasing revisions,
+// except for those up to baseRevision, which are never reported.
+func (s *state) recordChange(id string, revision int64) {
+	s.recordsRevision = max(s.recordsRevision, revision)
+	if revision > s.baseRevision {
+		s.changed = append(s.changed, changedServer{revision, id})
 	}
 }
 
-// end notes that a server is gone.
-func (k *known) end(id string, revision int64) {
-	if before, exists := k.servers[id]; exists {
-		k.digest.remove(before.record)
+// remove records that a server's record was removed.
+func (s *state) remove(id string, revision int64) {
+	if before, exists := s.servers[id]; exists {
+		s.digest.remove(before.record)
 	}
-	delete(k.servers, id)
-	k.ended[id] = revision
-	k.note(id, revision)
+	delete(s.servers, id)
+	s.removed[id] = revision
+	s.recordChange(id, revision)
 }
 
-// records of all servers, in order of ID.
-func (k *known) records() []ServerRecord {
-	records := make([]ServerRecord, 0, len(k.servers))
-	for _, server := range k.servers {
+// records returns the records of all servers, in order of ID.
+func (s *state) records() []ServerRecord {
+	records := make([]ServerRecord, 0, len(s.servers))
+	for _, server := range s.servers {
 		records = append(records, server.record)
 	}
 	sort.Slice(records, func(i, j int) bool { return records[i].ID < records[j].ID })
 	return records
 }
 
-// mostChanged changes are kept in order beside one for each server.
-const mostChanged = 4096
+// maxChanged is the number of changes that are kept for reports.
+const maxChanged = 4096
 
-// bound forgets the older half of what is gone, and of the changes what is too old.
-func (k *known) bound() {
-	if len(k.changed) > 2*mostChanged {
-		k.since = max(k.since, k.changed[len(k.changed)-mostChanged].revision)
+// trim forgets the older half of the removed servers, and the changes that are too old, once there
+// are too many of them.
+func (s *state) trim() {
+	if len(s.changed) > 2*maxChanged {
+		s.baseRevision = max(s.baseRevision, s.changed[len(s.changed)-maxChanged].revision)
 	}
-	if first := k.firstAfter(k.since); first > mostChanged {
-		k.changed = slices.Clone(k.changed[first:])
+	if first := s.firstAfter(s.baseRevision); first > maxChanged {
+		s.changed = slices.Clone(s.changed[first:])
 	}
-	if len(k.ended) <= mostEnded {
+	if len(s.removed) <= maxRemoved {
 		return
 	}
-	revisions := make([]int64, 0, len(k.ended))
-	for _, revision := range k.ended {
+	revisions := make([]int64, 0, len(s.removed))
+	for _, revision := range s.removed {
 		revisions = append(revisions, revision)
 	}
 	sort.Slice(revisions, func(i, j int) bool { return revisions[i] < revisions[j] })
-	k.since = max(k.since, revisions[len(revisions)/2])
-	maps.DeleteFunc(k.ended, func(_ string, revision int64) bool { return revision <= k.since })
+	s.baseRevision = max(s.baseRevision, revisions[len(revisions)/2])
+	maps.DeleteFunc(s.removed, func(_ string, revision int64) bool { return revision <= s.baseRevision })
 }
 
-// update tells what changed after the revision, up to at. It returns false if that
-// can't be told.
-func (k *known) update(after, at int64, age time.Duration) (Update, bool) {
-	update := Update{Base: after, At: at, Age: age, Configuration: k.configuration}
-	if after < k.since || at < k.since {
+// updateSince returns an Update with the changes after the revision, up to at. It returns false if
+// they can't be reported.
+func (s *state) updateSince(after, at int64, age time.Duration) (Update, bool) {
+	update := Update{Base: after, At: at, Age: age, Configuration: s.configuration}
+	if after < s.baseRevision || at < s.baseRevision {
 		return update, false
 	}
-	for _, change := range k.changed[k.firstAfter(after):] {
-		if server, exists := k.servers[change.id]; exists && server.revision == change.revision {
+	for _, change := range s.changed[s.firstAfter(after):] {
+		if server, exists := s.servers[change.id]; exists && server.revision == change.revision {
 			update.Servers = append(update.Servers, server.record)
-		} else if ended, gone := k.ended[change.id]; gone && ended == change.revision {
+		} else if revision, removed := s.removed[change.id]; removed && revision == change.revision {
 			update.Ended = append(update.Ended, change.id)
 		}
 	}
-	update.Own = k.ownAfter(after)
+	update.Own = s.ownAfter(after)
 	return update, true
 }
 
-// ownAfter are the own keys that changed after the revision, in order.
-func (k *known) ownAfter(after int64) []outside.WatchEvent {
+// ownAfter returns the own keys that changed after the revision, in order of revision.
+func (s *state) ownAfter(after int64) []outside.WatchEvent {
 	var changed []outside.WatchEvent
-	for _, event := range k.own {
+	for _, event := range s.own {
 		if event.KeyValue.ModRevision > after {
 			changed = append(changed, event)
 		}
@@ -172,33 +176,34 @@
 	return changed
 }
 
-// firstAfter is the place of the first change after the revision.
-func (k *known) firstAfter(revision int64) int {
-	return sort.Search(len(k.changed), func(i int) bool { return k.changed[i].revision > revision })
+// firstAfter returns the index of the first change after the revision.
+func (s *state) firstAfter(revision int64) int {
+	return sort.Search(len(s.changed), func(i int) bool { return s.changed[i].revision > revision })
 }
 
-// ServerRecord is what others have to know of a server.
+// ServerRecord is a server's record as nodes send it to each other.
 type ServerRecord struct {
 	ID, Pool, Address, Zone string
 	Slots                   int
 	Draining                bool
-	// Born is the birth of the life that wrote the record. It is no part of the digest,
-	// which nodes of earlier builds compare as well.
+	// Born identifies the incarnation that wrote the record, by the time at which it started. It is
+	// not part of the digest, which nodes of earlier builds compare as well.
 	Born int64
-	// Created is the store's revision at which the record came into being. Without
-	// it, a record that lapsed and came back unchanged would not count as a change.
+	// Created is the store's revision at which the record was created. Without it, a record that
+	// expired and was written again unchanged would not count as a change.
 	Created int64
-	// Models with their adapters.
+	// Models that the server holds, with their adapters, in order of name.
 	Models []ModelRecord
 }
 
-// ModelRecord is a model that a server holds.
+// ModelRecord is a model that a server holds, with its adapters.
 type ModelRecord struct {
 	Name     string
 	Adapters []string
 }
 
-// recordOf lists models and adapters in order, so that records can be compared.
+// recordOf returns a server's record, with models and adapters in order so that records can be
+// compared.
 func recordOf(server *fleet.Server) ServerRecord {
 	record := ServerRecord{
 		ID: server.ID, Pool: server.Pool, Address: server.Address, Zone: server.Zone, Slots: server.Slots, Draining: server.Draining,
@@ -221,7 +226,7 @@
 	return m.Name == other.Name && slices.Equal(m.Adapters, other.Adapters)
 }
 
-// server returns the record as a server seen at the time.
+// server returns the record as a fleet.Server that was seen at the time.
 func (r ServerRecord) server(seenAt time.Time, sets modelSets) *fleet.Server {
 	return &fleet.Server{
 		ID: r.ID, Pool: r.Pool, Address: r.Address, Zone: r.Zone, Slots: r.Slots, Draining: r.Draining,
--- a/internal/mirror/lapse.go
+++ b/internal/mirror/lapse.go
@@ -7,103 +7,102 @@
 )
 
 const (
-	// longestLapse is how long a server whose record ended while the store was away
-	// is still used after the store's return: by then the record of a server that
-	// lives is back.
-	longestLapse = 2 * time.Second
-	// lapseShare of the time for changes bounds it as well, so that a server which
-	// did leave meanwhile gets no request after its time.
-	lapseShare = 0.75
+	// maxGracePeriod bounds how long a server whose record expired while the store was unavailable
+	// is still used after the store's return: by then the record of a running server is back.
+	maxGracePeriod = 2 * time.Second
+	// graceShare of Times.Changes bounds it as well, so that a server that did leave during the
+	// outage gets no request later than its removal must take effect.
+	graceShare = 0.75
 )
 
-// lapseTime is how long a record that lapsed is waited for.
-func (m *Mirror) lapseTime() time.Duration {
-	return min(longestLapse, share(lapseShare, m.config.Times.Changes))
+// gracePeriod is how long an expired record is expected to be written again.
+func (m *Mirror) gracePeriod() time.Duration {
+	return min(maxGracePeriod, share(graceShare, m.config.Times.Changes))
 }
 
-// lapseEnd returns until when a record that ended now may come back, if it may have
-// ended only because the store was away. It must be called with the lock held.
-func (m *Mirror) lapseEnd(now time.Time) (time.Time, bool) {
-	if m.lost && !m.through {
-		return now.Add(m.lapseTime()), true
+// graceEnd returns until when a server whose record is removed now stays in use, if the record may
+// have expired only because the store was unavailable. It must be called with the lock held.
+func (m *Mirror) graceEnd(now time.Time) (time.Time, bool) {
+	if m.storeUnavailable && !m.following {
+		return now.Add(m.gracePeriod()), true
 	}
-	end := m.regainedAt.Add(m.lapseTime())
-	return end, !m.regainedAt.IsZero() && now.Before(end)
+	end := m.recoveredAt.Add(m.gracePeriod())
+	return end, !m.recoveredAt.IsZero() && now.Before(end)
 }
 
-// mayLapse: the server is known and did not say that it leaves. It must be called
-// with the lock held.
-func (m *Mirror) mayLapse(id string) bool {
+// graceEligible reports whether the server is known and has not announced that it leaves. It must
+// be called with the lock held.
+func (m *Mirror) graceEligible(id string) bool {
 	server := m.config.View.Load().Servers[id]
 	return server != nil && !server.Draining
 }
 
-// hold keeps servers up to the time although their records ended. It must be called
-// with the lock held.
-func (m *Mirror) hold(ids []string, end, now time.Time) {
-	held := 0
+// startGrace keeps servers in use until the given end although their records expired. It must be
+// called with the lock held.
+func (m *Mirror) startGrace(ids []string, end, now time.Time) {
+	started := 0
 	for _, id := range ids {
-		if _, known := m.lapsed[id]; !known {
-			m.lapsed[id] = end
-			held++
+		if _, exists := m.inGrace[id]; !exists {
+			m.inGrace[id] = end
+			started++
 		}
 	}
-	if held == 0 {
+	if started == 0 {
 		return
 	}
-	m.config.Logger.Info().Int("servers", held).Time("until", end).Msg("servers lapsed while the store was away")
-	time.AfterFunc(end.Sub(now), m.dropLapsed)
+	m.config.Logger.Info().Int("servers", started).Time("until", end).Msg("servers lapsed while the store was away")
+	time.AfterFunc(end.Sub(now), m.endGrace)
 }
 
-// dropLapsed removes the servers whose records did not come back in time.
-func (m *Mirror) dropLapsed() {
+// endGrace removes the servers whose records were not written again in time.
+func (m *Mirror) endGrace() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := time.Now()
-	ended := map[string]*fleet.Server{}
-	for id, end := range m.lapsed {
+	removed := map[string]*fleet.Server{}
+	for id, end := range m.inGrace {
 		if !now.Before(end) {
-			delete(m.lapsed, id)
-			ended[id] = nil
+			delete(m.inGrace, id)
+			removed[id] = nil
 			m.logServer(id, nil, m.revision)
 		}
 	}
-	if len(ended) > 0 {
-		m.config.View.UpdateServers(ended)
+	if len(removed) > 0 {
+		m.config.View.UpdateServers(removed)
 	}
 }
 
-// shown are the changes of servers that the view takes over: all but the ends of
-// those that are held. It must be called with the lock held.
-func (m *Mirror) shown(changes map[string]*fleet.Server, now time.Time) map[string]*fleet.Server {
-	end, lapses := m.lapseEnd(now)
-	var held []string
-	shown := make(map[string]*fleet.Server, len(changes))
+// visibleChanges returns the changes that the view applies: all but the removals of servers in
+// their grace period. It must be called with the lock held.
+func (m *Mirror) visibleChanges(changes map[string]*fleet.Server, now time.Time) map[string]*fleet.Server {
+	end, granted := m.graceEnd(now)
+	var expired []string
+	visible := make(map[string]*fleet.Server, len(changes))
 	for id, server := range changes {
-		if server == nil && lapses && m.mayLapse(id) {
-			held = append(held, id)
+		if server == nil && granted && m.graceEligible(id) {
+			expired = append(expired, id)
 			continue
 		}
-		delete(m.lapsed, id)
-		delete(m.returned, id)
-		shown[id] = server
+		delete(m.inGrace, id)
+		delete(m.reappeared, id)
+		visible[id] = server
 	}
-	m.hold(held, end, now)
-	return shown
+	m.startGrace(expired, end, now)
+	return visible
 }
 
-// addLapsed adds to all servers that exist those that are held. It must be called
+// addServersInGrace adds servers in their grace period to a read of all servers. It must be called
 // with the lock held.
-func (m *Mirror) addLapsed(servers map[string]*fleet.Server, now time.Time) {
-	end, lapses := m.lapseEnd(now)
-	var held []string
+func (m *Mirror) addServersInGrace(servers map[string]*fleet.Server, now time.Time) {
+	end, granted := m.graceEnd(now)
+	var expired []string
 	for id := range m.config.View.Load().Servers {
-		if servers[id] == nil && lapses && m.mayLapse(id) {
-			held = append(held, id)
+		if servers[id] == nil && granted && m.graceEligible(id) {
+			expired = append(expired, id)
 			servers[id] = m.config.View.Record(id)
 			continue
 		}
-		delete(m.lapsed, id)
+		delete(m.inGrace, id)
 	}
-	m.hold(held, end, now)
+	m.startGrace(expired, end, now)
 }
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -1,16 +1,16 @@
-// Package mirror keeps a node's copy of what the store holds: the operators'
-// configuration, the servers' records and the product's own keys.
+// Package mirror keeps each node's replica of the store: the operators' configuration, the servers'
+// records and the product's own keys, which the nodes write themselves.
 //
-// One node, the relay, reads the store often and tells the others what changed.
-// A node that hears the relay, and hears that the relay's own knowledge is fresh,
-// asks the store for nothing. As soon as that knowledge is too old, whatever the reason, the node
-// reads the store itself, from the revision up to which it knows everything. So
-// a relay that is dead, cut off or slow costs others a fraction of a second, and
-// the store's load does not grow with the number of nodes.
+// One node, the relay, polls the store frequently and pushes changes to the others. A node that
+// receives the relay's updates, and sees from them that the relay's state is fresh, sends no calls
+// to the store. As soon as that state is too old, whatever the reason, the node reads the store
+// itself, from the revision up to which its own state is complete. So a relay that crashed, is
+// partitioned or is slow delays the others by a fraction of a second, and the load on the store
+// does not grow with the number of nodes.
 //
-// The configuration and the product's own keys never wait for servers' records. In a
-// large fleet only the relay reads the records themselves; it leaves a compact copy
-// of them in the store, from which the others begin (see copy.go).
+// The configuration and the own keys never wait for servers' records. In a large fleet only the
+// relay reads the records themselves; it writes a compact snapshot of them to the store, from which
+// the others start (see snapshot.go).
 package mirror
 
 import (
@@ -26,214 +26,220 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// ErrCompacted: the store does not keep the changes since the revision.
-var ErrCompacted = errors.New("the store forgot its history")
+// ErrCompacted reports that the store no longer keeps the changes since the requested revision.
+var ErrCompacted = errors.New("the store no longer keeps the changes since the revision")
 
-// Changes are what changed in the store after the revision Base, up to At.
+// Changes are the changes of the store after the revision Base, up to At.
 type Changes struct {
 	Base, At int64
-	// Newest is the revision up to which some of it may have been read: reading
-	// everything takes several calls. Zero: all was read at the revision At.
+	// Newest is the revision up to which part of the state may have been read, since reading
+	// everything takes several calls. Zero: all of it was read at the revision At.
 	Newest int64
-	// Configuration is nil if it did not change, or was not understood.
+	// Configuration is nil if it did not change, or could not be decoded.
 	Configuration *fleet.Configuration
 	// ConfigurationRevision is zero if the configuration did not change.
 	ConfigurationRevision int64
-	// ConfigurationValue is the configuration as it was written.
+	// ConfigurationValue is the configuration's encoded value, as stored.
 	ConfigurationValue []byte
-	// Servers by ID; nil for one that is gone.
+	// Servers by ID; nil for one whose record was removed.
 	Servers map[string]*fleet.Server
-	// Own keys, in order of revision.
+	// Own holds the changes of own keys, in order of revision.
 	Own []outside.WatchEvent
-	// More servers exist than were read.
+	// More reports that more servers exist than were read.
 	More bool
 }
 
-// Source reads the store. Its calls end with their context.
+// Source reads the store. Its calls return when their context ends.
 type Source interface {
-	// Read returns everything as changes since revision zero; if not whole, with no
-	// more servers than one call brings.
+	// Read returns the whole state as changes since revision zero. Unless whole is set, it returns
+	// no more servers than one call delivers.
 	Read(ctx context.Context, whole bool) (Changes, error)
-	// Own returns the product's own keys alone, as changes since revision zero.
+	// Own returns the own keys alone, as changes since revision zero.
 	Own(ctx context.Context) (Changes, error)
-	// ReadSnapshot returns the parts of the copy of the servers' records whose names begin
-	// so, in order of name. Stale ones may be some seconds old, and cost less.
+	// ReadSnapshot returns the parts of the records snapshot whose names have the prefix, in order
+	// of name. A stale read may return parts that are some seconds old, and costs less.
 	ReadSnapshot(ctx context.Context, prefix string, stale bool) ([]SnapshotPart, error)
-	// WriteSnapshot writes the parts and the entry that tells of them, and removes other
-	// parts by name, all at once, if the entry still has the revision; zero: there is
-	// none.
+	// WriteSnapshot writes the parts and their manifest entry and deletes the removed parts by
+	// name, in one transaction, provided that the entry still has the revision; zero: it does not
+	// exist yet.
 	WriteSnapshot(ctx context.Context, parts []SnapshotPart, removed []string, entry outside.KeyValue, revision int64) error
-	// Changes returns what changed after the revision; if that is nothing, it
-	// waits for changes, and may return none. ErrHistoryGone: read everything.
+	// Changes returns the changes after the revision. If there are none yet it waits for some, and
+	// may return none. It returns ErrCompacted if the whole state has to be read instead.
 	Changes(ctx context.Context, after int64, wait time.Duration) (Changes, error)
-	// OwnChanges is Changes of the product's own keys alone.
+	// OwnChanges is Changes of the own keys alone.
 	OwnChanges(ctx context.Context, after int64, wait time.Duration) (Changes, error)
 	// Configuration returns the configuration alone, as changes since revision zero.
 	Configuration(ctx context.Context) (Changes, error)
-	// Decode returns a configuration of the revision from its value; nil if it is not
-	// understood.
+	// Decode decodes a configuration's value, of the given revision; nil if it can't be decoded.
 	Decode(value []byte, revision int64) *fleet.Configuration
 }
 
-// OwnKeyReceiver receives the product's own keys in the store.
+// OwnKeyReceiver receives the own keys in the store and their changes.
 type OwnKeyReceiver interface {
-	// Replace gives all keys that exist.
+	// Replace passes all keys that exist.
 	Replace(keyValues []outside.KeyValue)
-	// Change gives one key that was written or removed.
+	// Change passes one key that was written or deleted.
 	Change(event outside.WatchEvent)
-	// Restored gives all keys that exist after the store came back from a backup: a key
-	// that is missing was lost, not removed, and whoever knows its content writes it again.
+	// Restored passes all keys that exist after the store was restored from a backup. A key that is
+	// missing was lost in the restore, not deleted; a receiver that holds its content writes it
+	// again.
 	Restored(keyValues []outside.KeyValue)
 }
 
-// OwnKeyReceivers hands the product's keys to each part that has some.
+// OwnKeyReceivers passes the own keys to each of several receivers.
 type OwnKeyReceivers []OwnKeyReceiver
 
-// Replace gives all keys that exist.
-func (a OwnKeyReceivers) Replace(keyValues []outside.KeyValue) {
-	for _, part := range a {
-		part.Replace(keyValues)
+// Replace passes all keys that exist.
+func (r OwnKeyReceivers) Replace(keyValues []outside.KeyValue) {
+	for _, receiver := range r {
+		receiver.Replace(keyValues)
 	}
 }
 
-// Restored gives all keys that exist after the store came back from a backup.
-func (a OwnKeyReceivers) Restored(keyValues []outside.KeyValue) {
-	for _, part := range a {
-		part.Restored(keyValues)
+// Restored passes all keys that exist after the store was restored from a backup.
+func (r OwnKeyReceivers) Restored(keyValues []outside.KeyValue) {
+	for _, receiver := range r {
+		receiver.Restored(keyValues)
 	}
 }
 
-// Change gives one key that was written or removed.
-func (a OwnKeyReceivers) Change(event outside.WatchEvent) {
-	for _, part := range a {
-		part.Change(event)
+// Change passes one key that was written or deleted.
+func (r OwnKeyReceivers) Change(event outside.WatchEvent) {
+	for _, receiver := range r {
+		receiver.Change(event)
 	}
 }
 
-// Times bound how late a node knows what the store holds.
+// Times bound the staleness of a node's replica.
 type Times struct {
-	// Contact is the time without trouble after which it must know.
+	// Contact is the time within which the node must know the store's state again once the store
+	// and the network are healthy.
 	Contact time.Duration
-	// Changes is the time within which it must act on a change.
+	// Changes is the time within which the node must act on a change in the store.
 	Changes time.Duration
 }
 
 // Config configures a Mirror.
 type Config struct {
 	Source Source
-	View   *fleet.View
-	Own    OwnKeyReceiver
-	Times  Times
-	// Relay returns the address of the node that reads for the others; empty if
-	// there is none, or if it is this node.
+	// View is updated with the configuration and the servers.
+	View *fleet.View
+	// Own receives the own keys.
+	Own   OwnKeyReceiver
+	Times Times
+	// Relay returns the address of the relay; empty if there is none, or if it is this node.
 	Relay func() string
-	// IsRelay reports whether this node is the one that reads for the others; nil:
-	// never.
+	// IsRelay reports whether this node is the relay; nil: it never is.
 	IsRelay func() bool
-	// SnapshotKey is the product's own key that tells of the copy of the servers' records.
+	// SnapshotKey is the own key that holds the manifest of the records snapshot.
 	SnapshotKey string
-	// LinkBytesPerSecond of this machine; zero: not known.
+	// LinkBytesPerSecond of this machine; zero: unknown.
 	LinkBytesPerSecond float64
-	// Transport to other nodes; nil: this node reads for itself alone.
+	// Transport to other nodes; nil: this node always reads the store directly.
 	Transport peer.Transport
 	// Address and Zone of this node.
 	Address, Zone string
 	Logger        zerolog.Logger
 }
 
-// trustShare of the time for changes is how old what the relay told may be. It is
-// above twice the relay's share, and leaves the rest for messages that are lost
-// and sent again.
-const trustShare = 0.35
+// maxRelayAgeShare of Times.Changes is the maximum age of the relay's state for a node to rely on
+// it. It is more than twice relayPollShare; the rest of Times.Changes is left for messages that are
+// lost and sent again.
+const maxRelayAgeShare = 0.35
 
-// Mirror keeps a view equal to what the store holds.
+// Mirror keeps a fleet.View equal to the state of the store.
 type Mirror struct {
 	config Config
-	// woken: something that Run waits for has changed.
-	woken chan struct{}
-	// missed: the relay told of changes whose predecessors were missed.
-	missed chan struct{}
+	// wakeup is signalled when a condition that Run waits for may have changed.
+	wakeup chan struct{}
+	// resubscribe is signalled when the relay has to be asked for changes at once: an update was
+	// missed, or another node is to be asked.
+	resubscribe chan struct{}
 
 	mutex sync.Mutex
-	// revision up to which everything is known; zero: nothing was read.
+	// revision up to which the state is complete; zero: the whole state has to be read.
 	revision int64
-	// confirmedAt is when the store's own word was last heard, and relayedAt when
-	// that of the relay was fresh.
-	confirmedAt, relayedAt time.Time
-	// configuration is the revision of the newest one that was read; known tells
+	// confirmedAt is when the store itself last confirmed the state, relayConfirmedAt the time as
+	// of which the relay last did.
+	confirmedAt, relayConfirmedAt time.Time
+	// configurationRevision is the revision of the newest configuration that was read; state has
 	// that of the newest one that exists.
-	configuration int64
-	known         *known
-	// content is the newest configuration that was read, to be passed on; see content.go.
+	configurationRevision int64
+	state                 *state
+	// content is the newest configuration that was read, to be pushed to subscribers; see
+	// content.go.
 	content content
-	// contentBy is until when this node waits for the configuration of which it knows.
-	contentBy time.Time
-	// drifted: another node knows other records for the same revision, so everything
-	// is read again; driftAt is when that was done last.
-	drifted bool
-	driftAt time.Time
-	// subscribers by address; they were told of all changes
-	// up to the revision pushed.
-	subscribers map[string]subscriber
-	pushed      int64
-	// through tells whether this node reads through the relay, for the log.
-	through bool
-	// lost: the store did not answer the last call; failedPause was left last after
-	// one that failed, zero if none did. What it holds was
-	// heard again at regainedAt, from it or from the relay.
-	lost        bool
-	failedPause time.Duration
-	regainedAt  time.Time
-	// large: the servers' records don't fit into one call.
-	large bool
-	// partial: only those records are known that changed since partialAt; the view
-	// shows what was known before.
+	// contentDeadline is until when this node waits for the content of a configuration that the
+	// relay announced.
+	contentDeadline time.Time
+	// drifted: another node has other records for the same revision, so the whole state is read
+	// again; driftReadAt is when that was done last.
+	drifted     bool
+	driftReadAt time.Time
+	// subscribers by address; all changes up to pushedRevision were pushed to them.
+	subscribers    map[string]subscriber
+	pushedRevision int64
+	// following reports whether this node follows the relay, as last logged.
+	following bool
+	// storeUnavailable: the last call to the store failed; failurePause is the pause after the last
+	// failed call, zero since one succeeded. recoveredAt is when state was received again after
+	// that, from the store or from the relay.
+	storeUnavailable bool
+	failurePause     time.Duration
+	recoveredAt      time.Time
+	// largeFleet: there are more servers' records than one call delivers.
+	largeFleet bool
+	// partial: only the records that changed since partialAt are known; the view keeps showing the
+	// servers known before.
 	partial   bool
 	partialAt time.Time
-	// complete: all records were known once; patience is how long a copy of those that
-	// are not known any more is waited for.
-	complete bool
-	patience time.Duration
-	// reading: the relay reads all records meanwhile.
-	reading bool
-	// ownAt is the revision up to which changes of own keys were handed on.
-	ownAt int64
-	// copyEntry tells of the newest copy of the records in the store, copyRevision is
-	// that entry's own, and copied the revision of the copy that was taken last.
-	copyEntry    copyEntry
-	copyRevision int64
-	copied       int64
-	copyAt       time.Time
-	copying      bool
-	// tree is this node's place among the nodes that pass on what the relay tells.
-	tree place
-	// vacantAt is since when there is no relay that this node ever followed; zero if there
-	// is. Followed is the relay that it followed last.
-	vacantAt time.Time
-	followed string
-	// era of the last read of everything; entered: there was one. Latest is the newest
-	// revision of before a read that begins again.
-	era, latest int64
-	entered     bool
-	// restored: the servers' records are read for the first time since a restore. Ended
-	// are the servers that had ended before it, returned those of them that it brought back,
-	// which are not used until returnedUntil.
-	restored      bool
-	ended         map[string]int64
-	returned      map[string]*fleet.Server
-	returnedUntil time.Time
-	// rereadAt is when another node's later era made this one read again last.
+	// initialized: all records were known once. snapshotWait is how long a node with partial state
+	// waits for a records snapshot.
+	initialized  bool
+	snapshotWait time.Duration
+	// readingRecords: a read of all records is in progress in the background.
+	readingRecords bool
+	// ownKeysRevision is the revision up to which changes of own keys were passed on.
+	ownKeysRevision int64
+	// manifest describes the newest records snapshot in the store, and manifestRevision is the
+	// revision of the key that holds it. Only snapshots of a later revision than snapshotFloor are
+	// read: that of the last one applied, or the start of a gap in the history that a snapshot has
+	// to cover.
+	manifest          snapshotManifest
+	manifestRevision  int64
+	snapshotFloor     int64
+	snapshotStartedAt time.Time
+	writingSnapshot   bool
+	// tree is this node's position in the tree of nodes that pass on the relay's updates.
+	tree treePosition
+	// noRelaySince is since when there has been no relay that this node ever followed; zero if
+	// there is one. lastRelay is the relay that it followed last.
+	noRelaySince time.Time
+	lastRelay    string
+	// era of the last read of the whole state; eraKnown: there was one. latestRevision is the
+	// highest revision reached before the current read of the whole state.
+	era, latestRevision int64
+	eraKnown            bool
+	// afterRestore: the next read of the servers' records is the first one since a restore of the
+	// store. removedBefore are the servers that had been removed before the restore; reappeared are
+	// those of them that it brought back, which are not used until reappearedUntil.
+	afterRestore    bool
+	removedBefore   map[string]int64
+	reappeared      map[string]*fleet.Server
+	reappearedUntil time.Time
+	// rereadAt is when this node last read the whole state again because another node reported a
+	// later era.
 	rereadAt time.Time
-	// lapsed servers are still used, each up to a time, although their records ended
-	// while the store was away.
-	lapsed map[string]time.Time
+	// inGrace holds the servers that are still used although their records expired while the store
+	// was unavailable, each with the end of its grace period.
+	inGrace map[string]time.Time
 }
 
-// New returns a mirror, and registers its messages with the transport.
+// New returns a Mirror and registers its message handlers with the transport.
 func New(config Config) *Mirror {
 	m := &Mirror{
-		config: config, woken: make(chan struct{}, 1), missed: make(chan struct{}, 1),
-		known: newKnown(0), subscribers: map[string]subscriber{}, lapsed: map[string]time.Time{},
+		config: config, wakeup: make(chan struct{}, 1), resubscribe: make(chan struct{}, 1),
+		state: newState(0), subscribers: map[string]subscriber{}, inGrace: map[string]time.Time{},
 	}
 	if config.Relay == nil {
 		m.config.Relay = func() string { return "" }
@@ -248,7 +254,7 @@
 	return m
 }
 
-// Run keeps the copy until ctx ends.
+// Run keeps the replica up to date until ctx ends.
 func (m *Mirror) Run(ctx context.Context) {
 	if m.config.Transport != nil {
 		go m.subscribe(ctx)
@@ -283,76 +289,81 @@
 	readChanges
 )
 
+// next returns what Run does next, by the state at the time.
 func (m *Mirror) next(now time.Time) step {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	switch {
 	case m.revision == 0, m.drifted:
 		return readAll
-	case m.configuration < m.known.configuration && (!now.Before(m.contentBy) || !m.followsRelay(now)):
+	case m.configurationRevision < m.state.configuration && (!now.Before(m.contentDeadline) || !m.updateFollowing(now)):
 		return readConfiguration
-	case m.partial && !m.reading && m.recordsDue(now):
+	case m.partial && !m.readingRecords && m.recordsDue(now):
 		return readRecords
-	case m.followsRelay(now):
+	case m.updateFollowing(now):
 		return awaitRelay
-	case m.electionRuns(now):
+	case m.electionPending(now):
 		return awaitElection
 	}
 	return readChanges
 }
 
-// FollowsRelay reports whether this node reads through the relay.
+// FollowsRelay reports whether this node relies on the relay's updates instead of reading the store
+// itself.
 func (m *Mirror) FollowsRelay() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.through
+	return m.following
 }
 
-// Behind reports whether the operators may have written a configuration that this node
-// has not read: one is known, or neither the store nor the relay was heard for as long
-// as a change may take.
+// Behind reports whether the operators may have written a configuration that this node has not
+// read: one was announced, or neither the store nor the relay confirmed the state for
+// Times.Changes.
 func (m *Mirror) Behind() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.configuration < m.known.configuration || time.Since(m.heardAt()) > m.config.Times.Changes
+	return m.configurationRevision < m.state.configuration || time.Since(m.confirmedAsOf()) > m.config.Times.Changes
 }
 
-// heardAt is up to when the store's own word is known, read or told. It must be called
-// with the lock held.
-func (m *Mirror) heardAt() time.Time {
-	if m.relayedAt.After(m.confirmedAt) {
-		return m.relayedAt
+// confirmedAsOf is the time as of which the store or the relay last confirmed the state. It must be
+// called with the lock held.
+func (m *Mirror) confirmedAsOf() time.Time {
+	if m.relayConfirmedAt.After(m.confirmedAt) {
+		return m.relayConfirmedAt
 	}
 	return m.confirmedAt
 }
 
-// trust is how old the relay's word may be.
-func (m *Mirror) trust() time.Duration { return share(trustShare, m.config.Times.Changes) }
+// maxRelayAge is the maximum age of the relay's state for this node to rely on it.
+func (m *Mirror) maxRelayAge() time.Duration { return share(maxRelayAgeShare, m.config.Times.Changes) }
 
+// share returns a part of a duration.
 func share(part float64, of time.Duration) time.Duration { return time.Duration(part * float64(of)) }
 
-// followsRelay must be called with the lock held. It notes and logs a change.
-func (m *Mirror) followsRelay(now time.Time) bool {
-	follows := !m.relayedAt.IsZero() && now.Sub(m.relayedAt) < m.trust() && !m.config.IsRelay()
+// updateFollowing reports whether this node follows the relay now, and records and logs a change.
+// It must be called with the lock held.
+func (m *Mirror) updateFollowing(now time.Time) bool {
+	follows := !m.relayConfirmedAt.IsZero() && now.Sub(m.relayConfirmedAt) < m.maxRelayAge() && !m.config.IsRelay()
 	if follows {
-		m.followed, m.vacantAt = m.config.Relay(), time.Time{}
+		m.lastRelay, m.noRelaySince = m.config.Relay(), time.Time{}
 	}
-	if follows == m.through {
+	if follows == m.following {
 		return follows
 	}
-	m.through = follows
+	m.following = follows
 	event := m.config.Logger.Info().Str("dependency", "relay").Int64("revision", m.revision)
 	if follows {
-		if m.lost {
-			m.regainedAt = now
+		if m.storeUnavailable {
+			m.recoveredAt = now
 		}
 		event.Msg("dependency regained")
 	} else {
-		event.Dur("age_ms", now.Sub(m.relayedAt)).Msg("dependency lost")
+		event.Dur("age_ms", now.Sub(m.relayConfirmedAt)).Msg("dependency lost")
 	}
 	return follows
 }
 
+// signal signals a channel with a buffer of one, and never blocks.
 func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -26,19 +26,19 @@
 	})
 }
 
-// noise makes a server write its record now and then, as it does when it is well.
-func (d *deployment) noise(seconds int) {
+// rewriteRecord makes a server write its record periodically, as a healthy one does.
+func (d *deployment) rewriteRecord(seconds int) {
 	for range seconds * 4 {
 		d.store.put("s", false, "m")
 		time.Sleep(250 * time.Millisecond)
 	}
 }
 
-func TestFollowersLeaveTheStoreToTheRelay(t *testing.T) {
+func TestFollowersDoNotReadTheStore(t *testing.T) {
 	withNodes(t, 4, func(d *deployment) {
 		before := d.nodes[1].source.count("changes")
 		relayed := d.nodes[0].source.count("changes")
-		d.noise(10)
+		d.rewriteRecord(10)
 		Expect(d.nodes[1].mirror.FollowsRelay()).To(BeTrue())
 		Expect(d.nodes[0].mirror.FollowsRelay()).To(BeFalse())
 		Expect(d.nodes[1].source.count("changes")).To(Equal(before))
@@ -46,57 +46,57 @@
 	})
 }
 
-// A follower that saw a server's record lapse, while the relay sees the end and the
-// new record in one answer, learns of the new one, though the relay knows one that
-// says the same.
-func TestRecordThatCameBackIsTold(t *testing.T) {
+// A server's record expires and is written again. A follower saw the removal, but the relay sees
+// the removal and the new record in one answer and has an equal record from before. It must push
+// the new one all the same.
+func TestRecreatedRecordIsPushed(t *testing.T) {
 	withNodes(t, 2, func(d *deployment) {
 		relay, follower := d.nodes[0], d.nodes[1]
 		record := d.store.servers["s"]
-		relay.source.set(true, false)
-		time.Sleep(share(trustShare, testTimes.Changes) + time.Second)
+		relay.source.setFault(true, false)
+		time.Sleep(share(maxRelayAgeShare, testTimes.Changes) + time.Second)
 		d.store.remove("s")
-		time.Sleep(share(aloneWaitShare, testTimes.Contact))
+		time.Sleep(share(directWaitShare, testTimes.Contact))
 		Expect(follower.view.Load().Servers).NotTo(HaveKey("s"))
 		Expect(relay.view.Load().Servers).To(HaveKey("s"))
-		follower.source.set(true, false)
-		// The call that it waits in ends.
+		follower.source.setFault(true, false)
+		// The call in progress returns first.
 		time.Sleep(testTimes.Contact)
-		d.store.restore(record)
-		relay.source.set(false, false)
+		d.store.recreate(record)
+		relay.source.setFault(false, false)
 		time.Sleep(settled)
 		Expect(follower.mirror.FollowsRelay()).To(BeTrue())
 		Expect(follower.view.Load().Servers).To(HaveKey("s"))
 	})
 }
 
-// A read of everything is no snapshot: a record on its last page may be newer than
-// its revision. A follower that knows less is told of it all the same.
-func TestRecordNewerThanTheReadIsTold(t *testing.T) {
+// A read of the whole state is not consistent at one revision: a record on its last page may be
+// newer than the revision of the read. It must reach a follower whose state is older.
+func TestRecordNewerThanTheReadIsReported(t *testing.T) {
 	RegisterTestingT(t)
 	m := New(Config{View: fleet.NewView(), Own: &fakeOwn{values: map[string]string{}}, Times: testTimes})
 	draining := map[string]*fleet.Server{"s": {ID: "s", Pool: "p", Draining: true}}
 	m.replace(Changes{At: 10, Newest: 13, Servers: draining})
 	m.apply(Changes{Base: 10, At: 15, Servers: draining})
-	_, can := m.known.update(10, 15, 0)
-	Expect(can).To(BeFalse(), "what changed between the first page and the last can't be told")
-	_, can = m.known.update(13, 15, 0)
-	Expect(can).To(BeTrue())
+	_, ok := m.state.updateSince(10, 15, 0)
+	Expect(ok).To(BeFalse(), "changes between the first page and the last can't be reported")
+	_, ok = m.state.updateSince(13, 15, 0)
+	Expect(ok).To(BeTrue())
 }
 
-// lose makes a node forget a server, as a fault of ours might.
-func (n *testNode) lose(id string) {
+// loseServer makes a node lose a server's record, as a defect might.
+func (n *testNode) loseServer(id string) {
 	n.mirror.mutex.Lock()
 	defer n.mirror.mutex.Unlock()
-	n.mirror.known.take(Changes{At: n.mirror.revision, Servers: map[string]*fleet.Server{id: nil}})
+	n.mirror.state.apply(Changes{At: n.mirror.revision, Servers: map[string]*fleet.Server{id: nil}})
 	n.view.UpdateServers(map[string]*fleet.Server{id: nil})
 }
 
 // Whatever makes two nodes differ, the one that lacks a record reads it again.
-func TestDifferenceBetweenNodesIsMended(t *testing.T) {
+func TestDriftBetweenNodesIsRepaired(t *testing.T) {
 	for number := range 2 {
 		withNodes(t, 2, func(d *deployment) {
-			d.nodes[number].lose("s")
+			d.nodes[number].loseServer("s")
 			time.Sleep(subscribePeriod + time.Second)
 			for _, node := range d.nodes {
 				Expect(node.view.Load().Servers).To(HaveKey("s"))
@@ -106,33 +106,33 @@
 	}
 }
 
-// A difference that reading does not mend costs a read now and then, no more.
-func TestDifferenceThatStaysCostsLittle(t *testing.T) {
+// A difference that reading does not remove must cause few reads.
+func TestPersistentDriftCausesFewReads(t *testing.T) {
 	withNodes(t, 2, func(d *deployment) {
 		for range 20 {
-			d.nodes[1].lose("s")
+			d.nodes[1].loseServer("s")
 			time.Sleep(subscribePeriod)
 		}
 		Expect(d.nodes[1].source.count("read")).To(BeNumerically("<=", 3))
 	})
 }
 
-// A node that can't read the store goes on with what the relay tells.
-func TestDifferenceDoesNotKeepFromTheRelay(t *testing.T) {
+// A node that differs from the relay but can't read the store keeps applying the relay's updates.
+func TestDriftedNodeStillFollowsTheRelay(t *testing.T) {
 	withNodes(t, 2, func(d *deployment) {
-		d.nodes[1].source.set(true, false)
-		d.nodes[1].lose("s")
+		d.nodes[1].source.setFault(true, false)
+		d.nodes[1].loseServer("s")
 		time.Sleep(subscribePeriod + time.Second)
 		d.store.put("t", false)
 		time.Sleep(600 * time.Millisecond)
 		Expect(d.nodes[1].view.Load().Servers).To(HaveKey("t"))
-		d.nodes[1].source.set(false, false)
+		d.nodes[1].source.setFault(false, false)
 		time.Sleep(600 * time.Millisecond)
 		Expect(d.nodes[1].view.Load().Servers).To(HaveKey("s"))
 	})
 }
 
-func TestEqualRecordsHaveEqualDigests(t *testing.T) {
+func TestDigestDependsOnRecordContent(t *testing.T) {
 	RegisterTestingT(t)
 	record := ServerRecord{ID: "s", Pool: "p", Slots: 1, Created: 7, Models: []ModelRecord{{Name: "m", Adapters: []string{"a", "b"}}}}
 	others := []ServerRecord{
@@ -152,7 +152,7 @@
 	Expect(digest).To(BeEquivalentTo(others[0].hash()))
 }
 
-func TestFollowersLearnOfChangesInTime(t *testing.T) {
+func TestFollowersReceiveChangesInTime(t *testing.T) {
 	withNodes(t, 3, func(d *deployment) {
 		d.store.configure(true)
 		d.store.put("s", true, "m", "n")
@@ -166,7 +166,7 @@
 			Expect(node.view.Load().Servers).To(HaveKey("t"))
 			Expect(node.own.get("k")).To(Equal("v"))
 		}
-		Expect(d.nodes[1].source.count("configuration")).To(BeZero(), "the relay passes it on")
+		Expect(d.nodes[1].source.count("configuration")).To(BeZero(), "the relay pushes it")
 		d.store.remove("t")
 		time.Sleep(600 * time.Millisecond)
 		for _, node := range d.nodes {
@@ -175,12 +175,12 @@
 	})
 }
 
-func TestRecordsThatDidNotChangeAreNotTold(t *testing.T) {
+func TestUnchangedRecordsAreNotPushed(t *testing.T) {
 	withNodes(t, 2, func(d *deployment) {
 		d.network.mutex.Lock()
 		d.network.updates = nil
 		d.network.mutex.Unlock()
-		d.noise(3)
+		d.rewriteRecord(3)
 		d.network.mutex.Lock()
 		defer d.network.mutex.Unlock()
 		Expect(d.network.updates).NotTo(BeEmpty())
@@ -190,22 +190,22 @@
 	})
 }
 
-// Whatever happens to the relay, a follower acts on a change within the time for
-// changes, and a part of it is left for the request that depends on it.
-func TestFollowersReadThemselvesWhenTheRelay(t *testing.T) {
+// Whatever fault the relay has, a follower acts on a change within Times.Changes, with some of it
+// left for the request that depends on the change.
+func TestFollowersReadTheStoreWhenTheRelay(t *testing.T) {
 	cases := map[string]func(d *deployment){
-		"is dead":                        func(d *deployment) { d.nodes[0].stop(); d.network.setCut(addressOf(0), true) },
-		"is cut off from the followers":  func(d *deployment) { d.network.setCut(addressOf(0), true) },
-		"is turned away by the store":    func(d *deployment) { d.nodes[0].source.set(true, false) },
-		"hears nothing of the store":     func(d *deployment) { d.nodes[0].source.set(false, true) },
-		"names another node that is not": func(d *deployment) { d.setRelay(9); d.nodes[0].stop() },
-		"is not agreed on":               func(d *deployment) { d.setRelay(1) },
+		"has crashed":                       func(d *deployment) { d.nodes[0].stop(); d.network.setPartitioned(addressOf(0), true) },
+		"is partitioned from the followers": func(d *deployment) { d.network.setPartitioned(addressOf(0), true) },
+		"is refused by the store":           func(d *deployment) { d.nodes[0].source.setFault(true, false) },
+		"gets no answer from the store":     func(d *deployment) { d.nodes[0].source.setFault(false, true) },
+		"names a node that does not exist":  func(d *deployment) { d.setRelay(9); d.nodes[0].stop() },
+		"is not the same for all nodes":     func(d *deployment) { d.setRelay(1) },
 	}
-	for name, trouble := range cases {
+	for name, inject := range cases {
 		t.Run(name, func(t *testing.T) {
 			withNodes(t, 3, func(d *deployment) {
 				for range 20 {
-					trouble(d)
+					inject(d)
 					d.store.configure(true)
 					d.store.put("s", true)
 					time.Sleep(share(0.75, testTimes.Changes))
@@ -219,13 +219,13 @@
 	}
 }
 
-func TestMissedUpdatesAreAskedForAgain(t *testing.T) {
+func TestMissedUpdatesAreRequestedAgain(t *testing.T) {
 	withNodes(t, 2, func(d *deployment) {
-		// Between two of the regular subscriptions.
+		// Halfway between two periodic subscriptions, so that none hides the miss.
 		time.Sleep(subscribePeriod / 4)
 		before := d.nodes[1].source.count("changes")
 		d.network.mutex.Lock()
-		d.network.lose = 1
+		d.network.dropUpdates = 1
 		d.network.mutex.Unlock()
 		d.store.put("t", false)
 		time.Sleep(250 * time.Millisecond)
@@ -234,27 +234,27 @@
 		Expect(d.nodes[1].view.Load().Servers).To(HaveKey("t"))
 		Expect(d.nodes[1].view.Load().Servers).To(HaveKey("u"))
 		Expect(d.nodes[1].source.count("read")).To(Equal(1))
-		Expect(d.nodes[1].source.count("changes")).To(Equal(before), "the relay was asked, not the store")
+		Expect(d.nodes[1].source.count("changes")).To(Equal(before), "the relay was called, not the store")
 	})
 }
 
-// What the relay tells is as old as its own knowledge, not as its message.
-func TestOldKnowledgeOfTheRelayIsNotTrusted(t *testing.T) {
+// An update carries the age of the relay's state, not of the message.
+func TestRelayWithStaleStateIsNotFollowed(t *testing.T) {
 	RegisterTestingT(t)
 	m := New(Config{View: fleet.NewView(), Own: &fakeOwn{values: map[string]string{}}, Times: testTimes})
 	m.replace(Changes{At: 10})
-	m.takeUpdate(Update{Base: 10, At: 10, Age: m.trust()}, "r:1")
+	m.handleUpdate(Update{Base: 10, At: 10, Age: m.maxRelayAge()}, "r:1")
 	Expect(m.next(time.Now())).To(Equal(readChanges))
-	m.takeUpdate(Update{Base: 10, At: 10}, "r:1")
+	m.handleUpdate(Update{Base: 10, At: 10}, "r:1")
 	Expect(m.next(time.Now())).To(Equal(awaitRelay))
 }
 
-// Calls that the store refuses cost as much as others. While it is away, followers
-// ask seldom, and the relay often; once it is back the relay tells them.
-func TestStoreThatIsAwayIsAskedSeldom(t *testing.T) {
+// Calls that the store refuses cost as much as others. While it is unavailable, followers call it
+// rarely and the relay often; after that the relay pushes the changes.
+func TestUnavailableStoreIsCalledRarely(t *testing.T) {
 	withNodes(t, 3, func(d *deployment) {
 		for _, node := range d.nodes {
-			node.source.set(true, false)
+			node.source.setFault(true, false)
 		}
 		time.Sleep(testTimes.Changes)
 		relay, follower := d.nodes[0].source.count("changes"), d.nodes[1].source.count("changes")
@@ -263,21 +263,21 @@
 		Expect(d.nodes[1].source.count("changes") - follower).To(BeNumerically("<=", 12))
 		d.store.put("t", false)
 		for _, node := range d.nodes {
-			node.source.set(false, false)
+			node.source.setFault(false, false)
 		}
-		time.Sleep(2 * failedPause)
+		time.Sleep(2 * minFailurePause)
 		Expect(d.nodes[1].view.Load().Servers).To(HaveKey("t"))
 	})
 }
 
-// A node alone asks seldom as well, but in time.
-func TestNodeAloneLearnsInTimeThatTheStoreIsBack(t *testing.T) {
+// A single node also calls the store rarely in an outage, but notices its end in time.
+func TestSingleNodeNoticesStoreRecoveryInTime(t *testing.T) {
 	withNodes(t, 1, func(d *deployment) {
 		for range 20 {
-			d.nodes[0].source.set(true, false)
+			d.nodes[0].source.setFault(true, false)
 			d.store.put("t", false)
 			time.Sleep(7 * time.Second)
-			d.nodes[0].source.set(false, false)
+			d.nodes[0].source.setFault(false, false)
 			time.Sleep(share(0.25, testTimes.Changes))
 			Expect(d.nodes[0].view.Load().Servers).To(HaveKey("t"))
 			d.store.remove("t")
@@ -286,12 +286,12 @@
 	})
 }
 
-// Records lapse while the store is away, and come back soon after it does, if
-// their servers live. Until then the servers are used, however a node learns.
-func TestRecordsThatLapsedInAnOutageStayForAWhile(t *testing.T) {
+// Records expire while the store is unavailable, and running servers write them again soon after it
+// returns. Until then the servers stay in use, whichever way a node reads the removals.
+func TestServersStayInUseAfterTheirRecordsExpiredInAnOutage(t *testing.T) {
 	for name, after := range map[string]func(d *deployment){
-		"told of changes": func(*deployment) {},
-		"read again":      func(d *deployment) { d.store.forget() },
+		"reads changes":         func(*deployment) {},
+		"reads the whole state": func(d *deployment) { d.store.compact() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			withNodes(t, 3, func(d *deployment) {
@@ -305,30 +305,30 @@
 					}
 					after(d)
 				})
-				grace := d.nodes[0].mirror.lapseTime()
+				grace := d.nodes[0].mirror.gracePeriod()
 				time.Sleep(grace / 2)
 				for _, node := range d.nodes {
 					Expect(node.view.Load().Servers).To(HaveKey("s"))
 					Expect(node.view.Load().Servers).To(HaveKey("t"))
-					Expect(node.view.Load().Servers).NotTo(HaveKey("u"), "it had said that it leaves")
+					Expect(node.view.Load().Servers).NotTo(HaveKey("u"), "it was draining")
 				}
-				d.store.restore(record)
+				d.store.recreate(record)
 				time.Sleep(grace + 2*time.Second)
 				for _, node := range d.nodes {
 					Expect(node.view.Load().Servers).To(HaveKey("s"))
-					Expect(node.view.Load().Servers).NotTo(HaveKey("t"), "its record did not come back")
+					Expect(node.view.Load().Servers).NotTo(HaveKey("t"), "its record was not written again")
 				}
 			})
 		})
 	}
 }
 
-// A node that the store turns away, but that hears a relay with fresh word, takes a
-// server that ends for one that is gone.
-func TestServerThatEndsIsGoneAtOnceWhereTheRelayKnows(t *testing.T) {
+// A node that can't reach the store but follows a relay with fresh state must remove a server at
+// once, without a grace period.
+func TestFollowerRemovesServerWithoutGracePeriod(t *testing.T) {
 	withNodes(t, 3, func(d *deployment) {
-		d.nodes[1].source.set(true, false)
-		d.nodes[1].mirror.noteAnswer(errAway)
+		d.nodes[1].source.setFault(true, false)
+		d.nodes[1].mirror.noteStoreResult(errUnavailable)
 		time.Sleep(settled)
 		Expect(d.nodes[1].mirror.FollowsRelay()).To(BeTrue())
 		d.store.remove("s")
@@ -337,21 +337,21 @@
 	})
 }
 
-// outage keeps the store away for the time, and changes it meanwhile.
+// outage makes the store unavailable for a time, and changes it at the end of that.
 func (d *deployment) outage(lasts time.Duration, change func()) {
 	for _, node := range d.nodes {
-		node.source.set(true, false)
+		node.source.setFault(true, false)
 	}
 	time.Sleep(lasts)
 	change()
 	for _, node := range d.nodes {
-		node.source.set(false, false)
+		node.source.setFault(false, false)
 	}
 	time.Sleep(testTimes.Contact / 8)
 }
 
-// Very many changes at once, in a fleet that is not large, are read from the store, by
-// each node for itself, and the relay is followed again after that.
+// Very many changes at once, in a fleet that is not large, are read from the store by each node,
+// which follows the relay again afterwards.
 func TestManyChangesAreReadFromTheStore(t *testing.T) {
 	const nodes = 17
 	withNodes(t, nodes, func(d *deployment) {
@@ -359,8 +359,8 @@
 		d.network.updates = nil
 		d.network.mutex.Unlock()
 		before := d.nodes[1].source.count("changes")
-		most := d.nodes[0].mirror.mostFor(nodes - 1)
-		many := 2 * most
+		limit := d.nodes[0].mirror.recordLimit(nodes - 1)
+		many := 2 * limit
 		for number := range many {
 			d.store.put(fmt.Sprint("t", number), false)
 		}
@@ -371,7 +371,7 @@
 		Expect(d.nodes[1].source.count("changes")).To(BeNumerically(">", before))
 		d.network.mutex.Lock()
 		for _, update := range d.network.updates {
-			Expect(update.size()).To(BeNumerically("<=", most))
+			Expect(update.size()).To(BeNumerically("<=", limit))
 		}
 		d.network.mutex.Unlock()
 		time.Sleep(settled)
@@ -379,7 +379,7 @@
 	})
 }
 
-func TestConfigurationThatIsNotUnderstoodIsReadOnce(t *testing.T) {
+func TestUndecodableConfigurationIsReadOnce(t *testing.T) {
 	withNodes(t, 2, func(d *deployment) {
 		before := d.nodes[1].revision()
 		d.store.configure(false)
@@ -393,34 +393,34 @@
 	})
 }
 
-// A node is behind while it knows of a configuration that it has not read, and once it
-// has heard neither the store nor the relay for as long as a change may take.
-func TestNodeKnowsWhetherItIsBehind(t *testing.T) {
+// A node is behind while a configuration was announced that it has not read, and once neither the
+// store nor the relay confirmed its state for Times.Changes.
+func TestBehind(t *testing.T) {
 	RegisterTestingT(t)
 	m := New(Config{View: fleet.NewView(), Own: &fakeOwn{values: map[string]string{}}, Times: testTimes})
 	Expect(m.Behind()).To(BeTrue(), "nothing was read")
 	m.replace(Changes{At: 10, ConfigurationRevision: 5})
 	m.confirmedAt = time.Now()
 	Expect(m.Behind()).To(BeFalse())
-	m.takeUpdate(Update{Base: 10, At: 12, Configuration: 11}, "r:1")
+	m.handleUpdate(Update{Base: 10, At: 12, Configuration: 11}, "r:1")
 	Expect(m.Behind()).To(BeTrue(), "a configuration was not read")
-	m.takeConfiguration(nil, 11)
+	m.setConfiguration(nil, 11)
 	Expect(m.Behind()).To(BeFalse())
-	m.confirmedAt, m.relayedAt = time.Now().Add(-2*testTimes.Changes), time.Now().Add(-2*testTimes.Changes)
-	Expect(m.Behind()).To(BeTrue(), "nothing was heard for long")
+	m.confirmedAt, m.relayConfirmedAt = time.Now().Add(-2*testTimes.Changes), time.Now().Add(-2*testTimes.Changes)
+	Expect(m.Behind()).To(BeTrue(), "the state was not confirmed for long")
 }
 
-func TestForgottenHistoryIsReadAgain(t *testing.T) {
+func TestStateIsReadAgainAfterCompaction(t *testing.T) {
 	withNodes(t, 2, func(d *deployment) {
 		for _, node := range d.nodes {
-			node.source.set(true, false)
+			node.source.setFault(true, false)
 		}
 		time.Sleep(time.Second)
 		d.store.remove("s")
 		d.store.put("t", false)
-		d.store.forget()
+		d.store.compact()
 		for _, node := range d.nodes {
-			node.source.set(false, false)
+			node.source.setFault(false, false)
 		}
 		time.Sleep(2 * time.Second)
 		for _, node := range d.nodes {
@@ -430,8 +430,8 @@
 	})
 }
 
-// An answer of the store that is read late must not undo what the relay told since.
-func TestLateAnswerDoesNotUndoWhatIsKnown(t *testing.T) {
+// An answer of the store that is read late must not revert newer updates from the relay.
+func TestLateAnswerDoesNotRevertNewerUpdates(t *testing.T) {
 	RegisterTestingT(t)
 	node := &testNode{view: fleet.NewView(), own: &fakeOwn{values: map[string]string{}}}
 	m := New(Config{View: node.view, Own: node.own, Times: testTimes})
@@ -439,30 +439,30 @@
 		return map[string]*fleet.Server{"s": {ID: "s", Pool: "p", Draining: draining}}
 	}
 	m.replace(Changes{At: 10, Servers: server(false)})
-	m.takeUpdate(Update{Base: 10, At: 12, Servers: []ServerRecord{{ID: "s", Pool: "p", Draining: true}}}, "r:1")
+	m.handleUpdate(Update{Base: 10, At: 12, Servers: []ServerRecord{{ID: "s", Pool: "p", Draining: true}}}, "r:1")
 	m.apply(Changes{Base: 10, At: 11, Servers: server(false)})
 	Expect(node.view.Load().Servers["s"].Draining).To(BeTrue())
 	m.apply(Changes{Base: 10, At: 13, Servers: server(false)})
 	Expect(node.view.Load().Servers["s"].Draining).To(BeFalse())
 }
 
-// A node that learned of a configuration from one relay tells of it when it is the
-// relay itself; else a node that is further behind would never read it.
-func TestNextRelayTellsTheNewestConfiguration(t *testing.T) {
+// A node to which a relay announced a configuration announces it to others when it becomes the
+// relay itself; otherwise a node whose state is older would never read it.
+func TestNextRelayAnnouncesTheNewestConfiguration(t *testing.T) {
 	RegisterTestingT(t)
 	m := New(Config{View: fleet.NewView(), Own: &fakeOwn{values: map[string]string{}}, Times: testTimes})
 	m.replace(Changes{At: 10, ConfigurationRevision: 5})
-	m.takeUpdate(Update{Base: 10, At: 12, Configuration: 11}, "r:1")
-	Expect(m.next(time.Now())).To(Equal(awaitRelay), "the relay may pass it on")
-	Expect(m.next(time.Now().Add(share(contentPatienceShare, testTimes.Changes)))).To(Equal(readConfiguration))
-	told, can := m.known.update(10, 12, 0)
-	Expect(can).To(BeTrue())
-	Expect(told.Configuration).To(BeEquivalentTo(11))
+	m.handleUpdate(Update{Base: 10, At: 12, Configuration: 11}, "r:1")
+	Expect(m.next(time.Now())).To(Equal(awaitRelay), "the relay may push it")
+	Expect(m.next(time.Now().Add(share(contentWaitShare, testTimes.Changes)))).To(Equal(readConfiguration))
+	update, ok := m.state.updateSince(10, 12, 0)
+	Expect(ok).To(BeTrue())
+	Expect(update.Configuration).To(BeEquivalentTo(11))
 }
 
-// Changes that overlap what is known repeat no event of the product's own keys: one
-// that was removed since would seem to be there again.
-func TestOwnKeysAreToldOnce(t *testing.T) {
+// Changes that overlap the known state must not repeat events of own keys: a key that was deleted
+// since would seem to exist again.
+func TestOwnKeyChangesArePassedOnOnce(t *testing.T) {
 	RegisterTestingT(t)
 	own := &fakeOwn{values: map[string]string{}}
 	m := New(Config{View: fleet.NewView(), Own: own, Times: testTimes})
@@ -475,26 +475,26 @@
 	Expect(own.get("k")).To(Equal("new"))
 }
 
-func TestWhatEndedIsBounded(t *testing.T) {
+func TestRemovedServersAreBounded(t *testing.T) {
 	RegisterTestingT(t)
-	k := newKnown(0)
-	for revision := range int64(3 * mostEnded) {
-		k.take(Changes{At: revision + 1, Servers: map[string]*fleet.Server{fmt.Sprint(revision): nil}})
+	s := newState(0)
+	for revision := range int64(3 * maxRemoved) {
+		s.apply(Changes{At: revision + 1, Servers: map[string]*fleet.Server{fmt.Sprint(revision): nil}})
 	}
-	Expect(len(k.ended)).To(BeNumerically("<=", mostEnded))
-	_, can := k.update(1, 3*mostEnded, 0)
-	Expect(can).To(BeFalse(), "what was forgotten can't be told")
-	recent, can := k.update(3*mostEnded-5, 3*mostEnded, 0)
-	Expect(can).To(BeTrue())
+	Expect(len(s.removed)).To(BeNumerically("<=", maxRemoved))
+	_, ok := s.updateSince(1, 3*maxRemoved, 0)
+	Expect(ok).To(BeFalse(), "removals that were dropped can't be reported")
+	recent, ok := s.updateSince(3*maxRemoved-5, 3*maxRemoved, 0)
+	Expect(ok).To(BeTrue())
 	Expect(recent.Ended).To(HaveLen(5))
 }
 
-// Any trouble, with relays that change: no node goes back, and once it is over
-// all know what the store holds.
-func TestAnyTroubleLeavesAllNodesEqual(t *testing.T) {
+// Random faults, with changing relays: no node's configuration goes back to an older revision, and
+// after the faults all nodes have the state of the store.
+func TestNodesConvergeAfterRandomFaults(t *testing.T) {
 	for seed := range uint64(200) {
 		withNodes(t, 4, func(d *deployment) {
-			d.endureTrouble(seed, 1, 60)
+			d.injectFaults(seed, 1, 60)
 			time.Sleep(testTimes.Contact + testTimes.Changes)
 			for number, node := range d.nodes {
 				Expect(node.revision()).To(Equal(d.store.configuredAt), "seed %d, node %d", seed, number)
@@ -508,12 +508,13 @@
 	}
 }
 
-// endureTrouble checks that no node goes back while there is trouble, and ends it.
-func (d *deployment) endureTrouble(seed, stream uint64, steps int) {
+// injectFaults injects random faults, checks that no node's configuration goes back to an older
+// revision, and heals all faults in the end.
+func (d *deployment) injectFaults(seed, stream uint64, steps int) {
 	random := rand.New(rand.NewPCG(seed, stream))
 	highest := make([]int64, len(d.nodes))
 	for range steps {
-		d.randomTrouble(random)
+		d.injectRandomFault(random)
 		time.Sleep(time.Duration(random.IntN(400)) * time.Millisecond)
 		for number, node := range d.nodes {
 			Expect(node.revision()).To(BeNumerically(">=", highest[number]), "seed %d", seed)
@@ -521,12 +522,12 @@
 		}
 	}
 	for number, node := range d.nodes {
-		node.source.set(false, false)
-		d.network.setCut(addressOf(number), false)
+		node.source.setFault(false, false)
+		d.network.setPartitioned(addressOf(number), false)
 	}
 }
 
-func (d *deployment) randomTrouble(random *rand.Rand) {
+func (d *deployment) injectRandomFault(random *rand.Rand) {
 	number := random.IntN(len(d.nodes))
 	id := string(rune('s' + random.IntN(5)))
 	switch random.IntN(10) {
@@ -539,20 +540,20 @@
 	case 4:
 		d.setRelay(number)
 	case 5:
-		d.network.setCut(addressOf(number), random.IntN(2) == 0)
+		d.network.setPartitioned(addressOf(number), random.IntN(2) == 0)
 	case 6:
-		d.nodes[number].source.set(random.IntN(2) == 0, random.IntN(3) == 0)
+		d.nodes[number].source.setFault(random.IntN(2) == 0, random.IntN(3) == 0)
 	case 7:
-		d.store.forget()
+		d.store.compact()
 	case 8:
 		d.network.mutex.Lock()
-		d.network.lose = random.IntN(4)
+		d.network.dropUpdates = random.IntN(4)
 		d.network.mutex.Unlock()
 	case 9:
 		if record := d.store.servers[id]; record != nil {
 			d.store.remove(id)
 			time.Sleep(time.Duration(random.IntN(600)) * time.Millisecond)
-			d.store.restore(record)
+			d.store.recreate(record)
 		}
 	}
 }
--- a/internal/mirror/relay.go
+++ b/internal/mirror/relay.go
@@ -10,96 +10,96 @@
 )
 
 const (
-	// subscribePeriod between a node's subscriptions, which end after
-	// subscriptionTime.
-	subscribePeriod  = 2 * time.Second
-	subscriptionTime = 5 * time.Second
-	// relayPeriod between looks for another relay.
-	relayPeriod = 200 * time.Millisecond
-	// unheardPeriod between the subscriptions of a node that no relay told anything yet. A
-	// relay refuses connections while hundreds of nodes come at once; 615 of 985 that
-	// came back after subscribePeriod watched 10,000 servers in the store meanwhile.
-	unheardPeriod = 400 * time.Millisecond
-	// subscribeTimeout is how long an answer to a subscription is waited for.
+	// subscribePeriod is the time between a node's subscriptions, which expire after
+	// subscriptionTTL.
+	subscribePeriod = 2 * time.Second
+	subscriptionTTL = 5 * time.Second
+	// relayCheckPeriod is the time between checks for another relay.
+	relayCheckPeriod = 200 * time.Millisecond
+	// initialSubscribePeriod is the time between subscriptions of a node that has not received an
+	// update from any relay yet. A relay refuses connections while hundreds of nodes connect at
+	// once; with subscribePeriod instead, 615 of 985 nodes watched 10,000 servers in the store
+	// until they tried again.
+	initialSubscribePeriod = 400 * time.Millisecond
+	// subscribeTimeout bounds the wait for the reply to a subscription.
 	subscribeTimeout = 400 * time.Millisecond
-	// mostTold records go out at once at most, and leastTold to each subscriber. What is
-	// more, such as all servers when a deployment starts, each node reads from the
-	// store: the relay's link and memory are not made for it.
-	mostTold, leastTold = 2000, 8
-	// toldShare of the time for changes is how long the relay's link may be busy with
-	// one change, and recordBytes what a record takes in a message.
-	toldShare, recordBytes = 0.25, 120
+	// maxRecordsPushed bounds the records pushed to all subscribers together, but each gets up to
+	// minRecordsPushed. A larger change, such as all servers when a deployment starts, is read from
+	// the store by each node, as it would exceed the relay's link and memory.
+	maxRecordsPushed, minRecordsPushed = 2000, 8
+	// pushShare of Times.Changes is how long one change may occupy the relay's link, and
+	// recordBytes the size of a record in a message.
+	pushShare, recordBytes = 0.25, 120
 )
 
-// Subscribe asks the relay for what changes after the revision.
+// Subscribe asks the relay for the changes after the revision.
 type Subscribe struct {
 	// Address and Zone of the subscriber.
 	Address, Zone string
 	Revision      int64
-	// Digest of the records that it knows at the revision.
+	// Digest of the subscriber's records at the revision.
 	Digest Digest
-	// Avoid is a node that was asked in vain; empty: none.
+	// Avoid is a node that did not answer, and that the relay should not name again; empty: none.
 	Avoid string
 }
 
-// Update tells what changed in the store after Base, up to At; nothing, if the
-// two are equal.
+// Update carries the changes of the store after Base, up to At; none if the two are equal.
 type Update struct {
 	Base, At int64
-	// Era of the store that the sender is in; zero from builds that know none.
+	// Era of the store that the sender is in; zero from builds without eras.
 	Era int64
-	// Age of the relay's knowledge when it told this.
+	// Age of the sender's state when it sent this.
 	Age time.Duration
-	// Configuration is the newest one's revision.
+	// Configuration is the revision of the newest one.
 	Configuration int64
-	// Content is that configuration, packed; empty where it is not told, so that it has
-	// to be read from the store if it does not come soon.
+	// Content is that configuration, compressed; empty if it is not sent, so that it has to be read
+	// from the store unless it follows soon.
 	Content []byte
-	// Digest of all records at the revision At; zero in what is pushed.
+	// Digest of all records at the revision At; zero in updates that are pushed.
 	Digest Digest
-	// Skipped: more records changed than are told, so that they have to be taken from the
-	// copy in the store. Own are all own keys that exist then, whatever the base.
+	// Skipped: more records changed than are sent, so that they have to be read from the snapshot
+	// in the store. Own then holds all own keys that exist, whatever the base.
 	Skipped bool
 	Servers []ServerRecord
 	Ended   []string
 	Own     []outside.WatchEvent
 }
 
-// subscriber is a node that asked to be told.
+// subscriber is a node that subscribed to updates.
 type subscriber struct {
-	zone    string
-	askedAt time.Time
+	zone         string
+	subscribedAt time.Time
 }
 
-// size is the number of records.
+// size is the number of records and removals.
 func (u Update) size() int { return len(u.Servers) + len(u.Ended) }
 
-// mostFor is how many records each of so many subscribers is told at once: what the
-// machine's link bears. At 985 subscribers a bound of 2,000 records in all is two for
-// each, so that any change sent all nodes to the store.
-func (m *Mirror) mostFor(subscribers int) int {
+// recordLimit returns how many records may be sent at once to each of a number of subscribers, by
+// what the machine's link can carry. A limit of 2,000 records in total alone leaves two for each of
+// 985 subscribers, so that any change sent all nodes to the store.
+func (m *Mirror) recordLimit(subscribers int) int {
 	subscribers = max(subscribers, 1)
-	bytes := m.config.LinkBytesPerSecond * share(toldShare, m.config.Times.Changes).Seconds()
-	borne := min(int(bytes/recordBytes)/subscribers, mostTold)
-	return max(borne, mostTold/subscribers, leastTold)
+	bytes := m.config.LinkBytesPerSecond * share(pushShare, m.config.Times.Changes).Seconds()
+	capacity := min(int(bytes/recordBytes)/subscribers, maxRecordsPushed)
+	return max(capacity, maxRecordsPushed/subscribers, minRecordsPushed)
 }
 
-// bearable reports whether an update can be told to each of so many subscribers. In a
-// large fleet it leaves the records out where they are too many. It must be called with
-// the lock held.
-func (m *Mirror) bearable(update *Update, can bool, subscribers int) bool {
-	if can && update.size() <= m.mostFor(subscribers) {
+// limitUpdate reports whether an update, whose changes are complete if ok is set, can be sent to
+// each of a number of subscribers. In a large fleet it omits the records if they are incomplete or
+// too many. It must be called with the lock held.
+func (m *Mirror) limitUpdate(update *Update, ok bool, subscribers int) bool {
+	if ok && update.size() <= m.recordLimit(subscribers) {
 		return true
 	}
-	if !m.large || m.revision == 0 {
+	if !m.largeFleet || m.revision == 0 {
 		return false
 	}
 	update.Servers, update.Ended, update.Skipped = nil, nil, true
-	update.At, update.Configuration, update.Own = m.revision, m.known.configuration, m.known.ownAfter(0)
+	update.At, update.Configuration, update.Own = m.revision, m.state.configuration, m.state.ownAfter(0)
 	return true
 }
 
-// NotRelay is the answer of a node that can't tell what was asked for.
+// NotRelay is the reply of a node that can't provide the changes asked for.
 type NotRelay struct{}
 
 func init() {
@@ -109,111 +109,115 @@
 	peer.RegisterAs("mirror.Redirect", Redirect{})
 }
 
-// subscribe asks the relay now and then, and at once when there is another one or
-// changes were missed.
+// subscribe renews the subscription periodically, and at once when there is another relay or an
+// update was missed.
 func (m *Mirror) subscribe(ctx context.Context) {
-	ticker := time.NewTicker(relayPeriod)
+	ticker := time.NewTicker(relayCheckPeriod)
 	defer ticker.Stop()
-	var last string
-	var asked time.Time
+	var lastParent string
+	var lastSubscribed time.Time
 	for {
-		missed := false
+		requested := false
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.missed:
-			missed = true
+		case <-m.resubscribe:
+			requested = true
 		case <-ticker.C:
 		}
-		relay := m.parent()
-		if relay != "" && (missed || relay != last || time.Since(asked) >= m.subscribePeriod()) {
-			m.ask(relay)
-			asked = time.Now()
+		parent := m.parent()
+		if parent != "" && (requested || parent != lastParent || time.Since(lastSubscribed) >= m.subscribePeriod()) {
+			m.subscribeTo(parent)
+			lastSubscribed = time.Now()
 		}
-		last = relay
+		lastParent = parent
 	}
 }
 
-// subscribePeriod is the time between subscriptions.
+// subscribePeriod returns the time between subscriptions.
 func (m *Mirror) subscribePeriod() time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.relayedAt.IsZero() {
-		return unheardPeriod
+	if m.relayConfirmedAt.IsZero() {
+		return initialSubscribePeriod
 	}
 	return subscribePeriod
 }
 
-func (m *Mirror) ask(relay string) {
+// subscribeTo sends a subscription to the relay or parent, and processes the reply.
+func (m *Mirror) subscribeTo(relay string) {
 	m.mutex.Lock()
-	revision, digest, avoid := m.revision, m.digestNow(), m.tree.avoid
+	revision, digest, avoid := m.revision, m.currentDigest(), m.tree.avoid
 	m.mutex.Unlock()
 	if revision == 0 {
 		return
 	}
 	message := Subscribe{Address: m.config.Address, Zone: m.config.Zone, Revision: revision, Digest: digest, Avoid: avoid}
 	m.config.Transport.Call(relay, message, subscribeTimeout, func(reply peer.Message, err error) {
-		if update, told := reply.(Update); told && err == nil {
-			m.takeUpdate(update, relay)
+		if update, isUpdate := reply.(Update); isUpdate && err == nil {
+			m.handleUpdate(update, relay)
 			return
 		}
-		m.takeRefusal(reply, relay)
+		m.handleRefusal(reply, relay)
 	})
 }
 
-// serveSubscribe answers with what changed since, if this node reads the store
-// itself and its knowledge is fresh.
+// serveSubscribe replies with the changes since the subscriber's revision if this node's state is
+// fresh, or names another node to subscribe to.
 func (m *Mirror) serveSubscribe(_ string, message peer.Message, reply func(peer.Message, error)) {
-	asked := message.(Subscribe)
+	request := message.(Subscribe)
 	now := time.Now()
 	m.mutex.Lock()
-	if inner, redirected := m.redirect(asked, now); redirected {
+	if inner, redirected := m.redirect(request, now); redirected {
 		m.mutex.Unlock()
 		reply(Redirect{Address: inner}, nil)
 		return
 	}
-	behind := outside.EraOf(asked.Revision) > m.era
+	behind := outside.EraOf(request.Revision) > m.era
 	if behind && m.revision > 0 {
-		m.readAgain(asked.Address, now)
+		m.rereadForEra(request.Address, now)
 	}
-	age := now.Sub(m.heardAt())
-	update, can := m.known.update(asked.Revision, max(m.revision, asked.Revision), age)
-	can = m.bearable(&update, can && !m.partial, len(m.subscribers)) && m.revision > 0 && !behind && age < m.trust()
+	age := now.Sub(m.confirmedAsOf())
+	update, ok := m.state.updateSince(request.Revision, max(m.revision, request.Revision), age)
+	ok = m.limitUpdate(&update, ok && !m.partial, len(m.subscribers)) && m.revision > 0 && !behind && age < m.maxRelayAge()
 	update.Era = m.era
 	if update.At == m.revision {
-		update.Digest = m.digestNow()
+		update.Digest = m.currentDigest()
 	}
-	if m.revision > 0 && (!m.through || can) {
-		// Also if the knowledge is not fresh now: with a subscriber it soon is.
-		m.subscribers[asked.Address] = subscriber{zone: asked.Zone, askedAt: now}
-		m.compare(asked.Digest, asked.Revision, asked.Address, now)
+	if m.revision > 0 && (!m.following || ok) {
+		// The subscription counts even if the state is not fresh now: a node with subscribers polls
+		// the store often, so that it soon is.
+		m.subscribers[request.Address] = subscriber{zone: request.Zone, subscribedAt: now}
+		m.compareDigest(request.Digest, request.Revision, request.Address, now)
 	}
 	m.mutex.Unlock()
-	if !can {
+	if !ok {
 		reply(NotRelay{}, nil)
 		return
 	}
 	reply(update, nil)
 }
 
+// serveUpdate handles an update that was pushed to this node.
 func (m *Mirror) serveUpdate(from string, message peer.Message, reply func(peer.Message, error)) {
-	m.takeUpdate(message.(Update), from)
+	m.handleUpdate(message.(Update), from)
 	reply(nil, nil)
 }
 
-// takeUpdate takes over what the relay told.
-func (m *Mirror) takeUpdate(update Update, from string) {
+// handleUpdate applies an update from the relay and passes it on.
+func (m *Mirror) handleUpdate(update Update, from string) {
 	now := time.Now()
 	if m.applyUpdate(update, from, now) {
 		m.push(now)
 	}
 }
 
-// freshShare of the time for changes is by how much word must be fresher to be passed on,
-// if it says nothing new. Two nodes that tell each other would else never stop.
-const freshShare = 0.02
+// minFresherShare of Times.Changes is by how much an update without changes must be fresher than
+// the last one to be passed on. Otherwise two nodes that are subscribed to each other would never
+// stop.
+const minFresherShare = 0.02
 
-// applyUpdate reports whether the update was one that others have to be told.
+// applyUpdate reports whether the update has to be passed on to subscribers.
 func (m *Mirror) applyUpdate(update Update, from string, now time.Time) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -222,32 +226,32 @@
 	}
 	if update.Era != m.era {
 		if update.Era > m.era {
-			m.readAgain(from, now)
+			m.rereadForEra(from, now)
 		}
 		return false
 	}
 	if update.Base > m.revision && !update.Skipped {
-		signal(m.missed)
+		signal(m.resubscribe)
 		return false
 	}
-	revision, configuration, freshAt := m.revision, m.configuration, m.relayedAt
+	revision, configuration, confirmedBefore := m.revision, m.configurationRevision, m.relayConfirmedAt
 	if update.Skipped {
-		m.skip(update, now)
+		m.applySkipped(update, now)
 	} else {
 		m.apply(update.changes(now))
 	}
-	m.noteConfiguration(update, now)
-	if confirmed := now.Add(-update.Age); confirmed.After(m.relayedAt) {
-		m.relayedAt = confirmed
+	m.applyConfigurationUpdate(update, now)
+	if confirmed := now.Add(-update.Age); confirmed.After(m.relayConfirmedAt) {
+		m.relayConfirmedAt = confirmed
 	}
-	m.compare(update.Digest, update.At, from, now)
-	signal(m.woken)
-	news := m.revision > revision || m.configuration > configuration ||
-		m.relayedAt.Sub(freshAt) > share(freshShare, m.config.Times.Changes)
-	return news && len(m.subscribers) > 0
+	m.compareDigest(update.Digest, update.At, from, now)
+	signal(m.wakeup)
+	changed := m.revision > revision || m.configurationRevision > configuration ||
+		m.relayConfirmedAt.Sub(confirmedBefore) > share(minFresherShare, m.config.Times.Changes)
+	return changed && len(m.subscribers) > 0
 }
 
-// changes returns the update as changes without a configuration.
+// changes returns the update as Changes without a configuration.
 func (u Update) changes(now time.Time) Changes {
 	changes := Changes{Base: u.Base, At: u.At, Own: u.Own, Servers: make(map[string]*fleet.Server, len(u.Servers)+len(u.Ended))}
 	sets := modelSets{}
@@ -260,40 +264,41 @@
 	return changes
 }
 
-// push tells the subscribers what changed since the last push, or that nothing did.
+// push sends the subscribers the changes since the last push, or an empty update if there are none.
 func (m *Mirror) push(now time.Time) {
 	if m.config.Transport == nil {
 		return
 	}
 	m.mutex.Lock()
-	subscribers, after := m.liveSubscribers(now), max(m.pushed, m.known.since)
-	m.pushed = m.revision
+	subscribers, after := m.liveSubscribers(now), max(m.pushedRevision, m.state.baseRevision)
+	m.pushedRevision = m.revision
 	if len(subscribers) == 0 {
 		m.mutex.Unlock()
 		return
 	}
-	age := now.Sub(m.heardAt())
-	update, can := m.known.update(after, m.revision, age)
-	can = m.bearable(&update, can && !m.partial, len(subscribers))
+	age := now.Sub(m.confirmedAsOf())
+	update, ok := m.state.updateSince(after, m.revision, age)
+	ok = m.limitUpdate(&update, ok && !m.partial, len(subscribers))
 	update.Era = m.era
-	if can {
-		update.Content = m.contentToTell(len(subscribers), now)
+	if ok {
+		update.Content = m.contentToPush(len(subscribers), now)
 	}
 	m.mutex.Unlock()
-	if !can {
+	if !ok {
 		return
 	}
-	update.Content = packed(update.Content)
+	update.Content = compress(update.Content)
 	for _, address := range subscribers {
 		m.config.Transport.Send(address, update)
 	}
 }
 
-// liveSubscribers must be called with the lock held. It forgets those that ended.
+// liveSubscribers returns the subscribers' addresses and removes expired subscriptions. It must be
+// called with the lock held.
 func (m *Mirror) liveSubscribers(now time.Time) []string {
 	var live []string
-	for address, known := range m.subscribers {
-		if now.Sub(known.askedAt) > subscriptionTime {
+	for address, entry := range m.subscribers {
+		if now.Sub(entry.subscribedAt) > subscriptionTTL {
 			delete(m.subscribers, address)
 			continue
 		}
--- a/internal/mirror/restore.go
+++ b/internal/mirror/restore.go
@@ -7,70 +7,71 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// A store that comes back from a backup has lost what it acknowledged since. Operator and
-// servers write their state again; until then what this node knew is newer than what it reads.
+// A store that is restored from a backup has lost the writes that it acknowledged since. The
+// operator and the servers write their state again; until then this node's state is newer than what
+// it reads.
 
-// rereadPause is the shortest time between two reads of everything because another node is in
-// a later era: one that counts eras otherwise must not keep this node reading.
-const rereadPause = 2 * time.Second
+// rereadInterval is the minimum time between two reads of the whole state because another node is
+// in a later era, so that a node which counts eras differently can't keep this one reading.
+const rereadInterval = 2 * time.Second
 
-// enterEra notes the era of a read of everything, and reports whether the store was restored
-// since the read before. It must be called with the lock held, before the read is taken over.
+// enterEra records the era of a read of the whole state, and reports whether the store was restored
+// since the read before. It must be called with the lock held, before the read is applied.
 func (m *Mirror) enterEra(revision int64, now time.Time) (restored bool) {
 	era := outside.EraOf(revision)
-	restored = m.entered && era > m.era
-	m.entered, m.era = true, era
+	restored = m.eraKnown && era > m.era
+	m.eraKnown, m.era = true, era
 	if !restored {
 		return false
 	}
-	m.restored, m.regainedAt = true, now
-	m.ended = m.known.ended
-	for id := range m.returned {
-		m.ended[id] = revision
+	m.afterRestore, m.recoveredAt = true, now
+	m.removedBefore = m.state.removed
+	for id := range m.reappeared {
+		m.removedBefore[id] = revision
 	}
-	m.copyEntry, m.copyRevision = copyEntry{}, 0
-	m.config.Logger.Warn().Int64("era", era).Int64("revision", revision).Int64("revision_before", m.latest).Msg("reading a restored store")
+	m.manifest, m.manifestRevision = snapshotManifest{}, 0
+	m.config.Logger.Warn().Int64("era", era).Int64("revision", revision).Int64("revision_before", m.latestRevision).Msg("reading a restored store")
 	return true
 }
 
-// readAgain makes the node read everything, since another one is in a later era of the store.
-// It must be called with the lock held.
-func (m *Mirror) readAgain(node string, now time.Time) {
-	if now.Sub(m.rereadAt) < rereadPause {
+// rereadForEra makes the node read the whole state again, since another one is in a later era of
+// the store. It must be called with the lock held.
+func (m *Mirror) rereadForEra(node string, now time.Time) {
+	if now.Sub(m.rereadAt) < rereadInterval {
 		return
 	}
 	m.rereadAt = now
 	m.config.Logger.Warn().Str("node", node).Int64("era", m.era).Int64("revision", m.revision).Msg("another node is in a later era of the store, reading again")
-	m.forgetRevision()
+	m.resetRevision()
 }
 
-// forgetRevision makes the node read everything. What it knows stays in use meanwhile. It must
-// be called with the lock held.
-func (m *Mirror) forgetRevision() {
-	m.latest = max(m.latest, m.revision)
+// resetRevision makes the node read the whole state. The state that it has stays in use until then.
+// It must be called with the lock held.
+func (m *Mirror) resetRevision() {
+	m.latestRevision = max(m.latestRevision, m.revision)
 	m.revision = 0
-	signal(m.woken)
+	signal(m.wakeup)
 }
 
-// keepNewer replaces a configuration from an older backup by the one in force, which then
-// counts as the one at that revision: whatever is written after it is newer. It must be called
-// with the lock held.
+// keepNewer replaces a configuration from an older backup by the one in force, which then counts as
+// the one at that revision, so that whatever is written later is newer. It must be called with the
+// lock held.
 func (m *Mirror) keepNewer(read Changes) Changes {
-	held := m.config.View.Load().Configuration
+	inForce := m.config.View.Load().Configuration
 	isChange := read.Base > 0
-	if isChange || held == nil || outside.EraOf(read.ConfigurationRevision) <= outside.EraOf(held.Revision) {
+	if isChange || inForce == nil || outside.EraOf(read.ConfigurationRevision) <= outside.EraOf(inForce.Revision) {
 		return read
 	}
-	if read.Configuration != nil && read.Configuration.Version >= held.Version {
+	if read.Configuration != nil && read.Configuration.Version >= inForce.Version {
 		return read
 	}
-	kept := *held
+	kept := *inForce
 	kept.Revision = read.ConfigurationRevision
 	read.ConfigurationValue = nil
-	if m.content.revision == held.Revision {
+	if m.content.revision == inForce.Revision {
 		read.ConfigurationValue = m.content.value
 	}
-	event := m.config.Logger.Warn().Int64("version", held.Version).Int64("revision", kept.Revision)
+	event := m.config.Logger.Warn().Int64("version", inForce.Version).Int64("revision", kept.Revision)
 	if read.Configuration != nil {
 		event = event.Int64("version_restored", read.Configuration.Version)
 	}
@@ -79,49 +80,50 @@
 	return read
 }
 
-// keepServers takes over from what was known before a restore that servers drain, and keeps
-// those out of use that had ended, until their records are written again or the time for that
-// is over. It must be called with the lock held.
-func (m *Mirror) keepServers(servers map[string]*fleet.Server, now time.Time) {
-	if !m.restored {
+// carryOverRestore applies state from before a restore to the servers that were read after it.
+// Servers that were draining still do. Servers that had been removed stay out of use until their
+// records are written again or the grace period is over. It must be called with the lock held.
+func (m *Mirror) carryOverRestore(servers map[string]*fleet.Server, now time.Time) {
+	if !m.afterRestore {
 		return
 	}
-	m.restored = false
-	m.returned = map[string]*fleet.Server{}
+	m.afterRestore = false
+	m.reappeared = map[string]*fleet.Server{}
 	for id, server := range servers {
 		before := m.config.View.Record(id)
 		if before != nil && before.Draining && !server.Draining {
 			m.config.View.SetLeaving(before.Life())
 		}
-		_, lapsed := m.lapsed[id]
-		if _, ended := m.ended[id]; ended && !lapsed {
-			m.returned[id] = server
+		_, inGrace := m.inGrace[id]
+		if _, removed := m.removedBefore[id]; removed && !inGrace {
+			m.reappeared[id] = server
 			delete(servers, id)
 		}
 	}
-	m.ended = nil
-	if len(m.returned) > 0 {
-		m.config.Logger.Info().Int("servers", len(m.returned)).Msg("ended servers restored, not used yet")
-		m.returnedUntil = now.Add(m.lapseTime())
-		time.AfterFunc(m.lapseTime(), m.useReturned)
+	m.removedBefore = nil
+	if len(m.reappeared) > 0 {
+		m.config.Logger.Info().Int("servers", len(m.reappeared)).Msg("ended servers restored, not used yet")
+		m.reappearedUntil = now.Add(m.gracePeriod())
+		time.AfterFunc(m.gracePeriod(), m.useReappeared)
 	}
 }
 
-// useReturned uses the servers that had ended before a restore and that the store still lists.
-func (m *Mirror) useReturned() {
+// useReappeared uses the servers that had been removed before a restore and that the store still
+// lists.
+func (m *Mirror) useReappeared() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if time.Now().Before(m.returnedUntil) {
-		// The store was restored once more since.
+	if time.Now().Before(m.reappearedUntil) {
+		// The store was restored once more in the meantime.
 		return
 	}
-	for id := range m.returned {
-		if _, listed := m.known.servers[id]; !listed {
-			delete(m.returned, id)
+	for id := range m.reappeared {
+		if _, listed := m.state.servers[id]; !listed {
+			delete(m.reappeared, id)
 		}
 	}
-	if len(m.returned) > 0 {
-		m.config.View.UpdateServers(m.returned)
+	if len(m.reappeared) > 0 {
+		m.config.View.UpdateServers(m.reappeared)
 	}
-	m.returned = nil
+	m.reappeared = nil
 }
--- a/internal/mirror/tree_test.go
+++ b/internal/mirror/tree_test.go
@@ -10,8 +10,8 @@
 	"github.com/hatchplank/hatchplank/internal/fleet"
 )
 
-// relayedBy counts the nodes that each node tells.
-func (d *deployment) relayedBy() []int {
+// subscriberCounts returns the number of subscribers of each node.
+func (d *deployment) subscriberCounts() []int {
 	counts := make([]int, len(d.nodes))
 	for number, node := range d.nodes {
 		node.mirror.mutex.Lock()
@@ -21,12 +21,12 @@
 	return counts
 }
 
-// Three times as many nodes as the relay tells: all hear of everything in time, and leave
-// the store alone.
-func TestManyNodesAreToldInTwoSteps(t *testing.T) {
+// With three times as many nodes as the relay serves itself, all receive changes in time and none
+// reads the store.
+func TestManyNodesAreReachedThroughTwoLevels(t *testing.T) {
 	withNodes(t, 3*fanOut, func(d *deployment) {
 		time.Sleep(settled)
-		Expect(d.relayedBy()[0]).To(Equal(fanOut))
+		Expect(d.subscriberCounts()[0]).To(Equal(fanOut))
 		before := make([]int, len(d.nodes))
 		for number, node := range d.nodes {
 			before[number] = node.source.count("changes")
@@ -36,7 +36,7 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		d.store.configure(true)
-		time.Sleep(share(2*relayShare, testTimes.Changes) + 50*time.Millisecond)
+		time.Sleep(share(2*relayPollShare, testTimes.Changes) + 50*time.Millisecond)
 		d.expectEqual()
 		for number, node := range d.nodes[1:] {
 			Expect(node.mirror.FollowsRelay()).To(BeTrue(), "node %d", number+1)
@@ -45,13 +45,13 @@
 	})
 }
 
-// Nodes are sent to inner nodes of their own zone, where there are any.
+// Nodes are redirected to inner nodes of their own zone, where there are any.
 func TestInnerNodesAreOfTheSameZone(t *testing.T) {
 	RegisterTestingT(t)
 	m := New(Config{View: fleet.NewView(), Own: &fakeOwn{values: map[string]string{}}, Times: testTimes})
 	now := time.Now()
 	for number := range fanOut {
-		m.subscribers[addressOf(number)] = subscriber{zone: fmt.Sprint("z", number%4), askedAt: now}
+		m.subscribers[addressOf(number)] = subscriber{zone: fmt.Sprint("z", number%4), subscribedAt: now}
 	}
 	named := map[string]int{}
 	for number := range 1000 {
@@ -64,26 +64,29 @@
 	_, redirected := m.redirect(Subscribe{Address: "n", Zone: "elsewhere"}, now)
 	Expect(redirected).To(BeTrue(), "a zone without inner nodes")
 	_, redirected = m.redirect(Subscribe{Address: addressOf(3), Zone: "z3"}, now)
-	Expect(redirected).To(BeFalse(), "a subscriber stays")
+	Expect(redirected).To(BeFalse(), "a subscriber is not redirected")
 }
 
-// Whatever happens to a node that passes word on, those below it know in time.
+// Whatever fault an inner node has, the nodes below it receive changes in time.
 func TestNodesBelowAnInnerNodeThat(t *testing.T) {
-	for name, hurt := range map[string]func(d *deployment, inner int){
-		"dies":       func(d *deployment, inner int) { d.nodes[inner].stop(); d.network.setCut(addressOf(inner), true) },
-		"is cut off": func(d *deployment, inner int) { d.network.setCut(addressOf(inner), true) },
+	for name, inject := range map[string]func(d *deployment, inner int){
+		"dies": func(d *deployment, inner int) {
+			d.nodes[inner].stop()
+			d.network.setPartitioned(addressOf(inner), true)
+		},
+		"is partitioned": func(d *deployment, inner int) { d.network.setPartitioned(addressOf(inner), true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			withNodes(t, 2*fanOut, func(d *deployment) {
 				time.Sleep(settled)
 				inner := 0
-				for number, count := range d.relayedBy() {
+				for number, count := range d.subscriberCounts() {
 					if number > 0 && count > 0 {
 						inner = number
 					}
 				}
 				Expect(inner).NotTo(BeZero())
-				hurt(d, inner)
+				inject(d, inner)
 				d.store.configure(true)
 				d.store.put("s", true)
 				time.Sleep(share(0.9, testTimes.Changes))
--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -36,10 +36,10 @@
 switch_off asked-in-waves internal/orders/asking.go 'for h.asking.workers < askAtOnce &&' 'for h.asking.workers < 1<<20 &&' ./internal/orders
 switch_off idle-connections internal/exchange/client.go 'if c.mostIdle > 0 && c.kept >= c.mostIdle {' 'if false {' ./internal/exchange
 switch_off configuration-first internal/mirror/reading.go 'if m.isLarge(own) {' 'if m.isLarge(own) && false {' ./internal/mirror
-switch_off skipped-records internal/mirror/relay.go 'if !m.large || m.revision == 0 {' 'if true {' ./internal/mirror
-switch_off copy-after-gap internal/mirror/copy.go 'm.copied = max(m.copied, read.At-1)' '_ = read' ./internal/mirror
+switch_off skipped-records internal/mirror/relay.go 'if !m.largeFleet || m.revision == 0 {' 'if true {' ./internal/mirror
+switch_off copy-after-gap internal/mirror/copy.go 'm.snapshotFloor = max(m.snapshotFloor, read.At-1)' '_ = read' ./internal/mirror
 switch_off two-steps internal/mirror/tree.go 'len(m.subscribers) < fanOut' 'true' ./internal/mirror
-switch_off new-relay-awaited internal/mirror/election.go 'return now.Sub(m.vacantAt) < share(electionShare, m.config.Times.Changes)' 'return false' ./internal/mirror
+switch_off new-relay-awaited internal/mirror/election.go 'return now.Sub(m.noRelaySince) < share(electionWaitShare, m.config.Times.Changes)' 'return false' ./internal/mirror
 switch_off wanted-told-at-once internal/orders/push.go 'for _, address := range h.demand.asking(key, now) {' 'for _, address := range h.demand.asking(key, now)[:0] {' ./internal/orders
 
 forward=./internal/forward
@@ -130,23 +130,23 @@
 switch_off draining-server internal/forward/choose.go 'return !server.Draining' 'return true' $forward
 switch_off instance-at-server platform/backend.go 'writeHeader(&head, headerExpectInstance, attempt.Server.ID)' '' ./platform
 # Reading through the relay.
-switch_off relay-is-trusted-briefly internal/mirror/mirror.go 'now.Sub(m.relayedAt) < m.trust()' 'now.Sub(m.relayedAt) < time.Hour' ./internal/mirror
+switch_off relay-is-trusted-briefly internal/mirror/mirror.go 'now.Sub(m.relayConfirmedAt) < m.maxRelayAge()' 'now.Sub(m.relayConfirmedAt) < time.Hour' ./internal/mirror
 switch_off relay-tells-its-age internal/mirror/relay.go 'now.Add(-update.Age)' 'now' ./internal/mirror
-switch_off missed-updates internal/mirror/relay.go 'signal(m.missed)' '' ./internal/mirror
+switch_off missed-updates internal/mirror/relay.go 'signal(m.resubscribe)' '' ./internal/mirror
 switch_off late-answer internal/mirror/apply.go 'if changes.At <= m.revision || ' 'if ' ./internal/mirror
 switch_off told-configuration internal/mirror/relay.go 'm.known.configuration = max(m.known.configuration, update.Configuration)' '' ./internal/mirror
 switch_off bounded-pushes internal/mirror/relay.go '!can || update.size() > mostFor(len(subscribers))' '!can' ./internal/mirror
-switch_off bounded-memory-of-ends internal/mirror/known.go 'if len(k.ended) <= mostEnded {' 'if true {' ./internal/mirror
+switch_off bounded-memory-of-ends internal/mirror/known.go 'if len(s.removed) <= maxRemoved {' 'if true {' ./internal/mirror
 switch_off record-that-came-back internal/mirror/known.go ' && r.Created == other.Created' '' ./internal/mirror
 switch_off read-is-no-snapshot internal/mirror/apply.go 'max(changes.At, changes.Newest)' 'changes.At' ./internal/mirror
 switch_off creation-revision platform/feed.go 'server.Created = event.KeyValue.CreateRevision' '' ./platform
-switch_off digest internal/mirror/digest.go 'm.drifted = m.driftAt.IsZero() || ' 'm.drifted = now.IsZero() && ' ./internal/mirror
-switch_off digest-pause internal/mirror/digest.go '>= driftPause' '>= 0' ./internal/mirror
+switch_off digest internal/mirror/digest.go 'm.drifted = m.driftReadAt.IsZero() || ' 'm.drifted = now.IsZero() && ' ./internal/mirror
+switch_off digest-pause internal/mirror/digest.go '>= driftReadInterval' '>= 0' ./internal/mirror
 switch_off own-keys-once internal/mirror/apply.go 'if event.KeyValue.ModRevision > before {' 'if before >= 0 {' ./internal/mirror
-switch_off lapsed-records internal/mirror/lapse.go 'if server == nil && lapses && m.mayLapse(id) {' 'if server == nil && lapses && id == "" {' ./internal/mirror
-switch_off lapse-without-relay internal/mirror/lapse.go 'if m.lost && !m.through {' 'if m.lost {' ./internal/mirror
-switch_off lapse-ends internal/mirror/lapse.go 'time.AfterFunc(end.Sub(now), m.dropLapsed)' '' ./internal/mirror
-switch_off pause-after-failure internal/mirror/reading.go 'min(max(2*m.failedPause, failedPause), longest)' 'min(failedPause, longest)' ./internal/mirror
+switch_off lapsed-records internal/mirror/lapse.go 'if server == nil && granted && m.graceEligible(id) {' 'if server == nil && granted && id == "" {' ./internal/mirror
+switch_off lapse-without-relay internal/mirror/lapse.go 'if m.storeUnavailable && !m.following {' 'if m.storeUnavailable {' ./internal/mirror
+switch_off lapse-ends internal/mirror/lapse.go 'time.AfterFunc(end.Sub(now), m.endGrace)' '' ./internal/mirror
+switch_off pause-after-failure internal/mirror/reading.go 'min(max(2*m.failurePause, minFailurePause), maxPause)' 'min(minFailurePause, maxPause)' ./internal/mirror
 switch_off latest-word internal/fleet/view.go 'before.PlacedVersion > state.PlacedVersion' 'false' ./internal/fleet
 switch_off word-of-earlier-record internal/fleet/view.go 'if placed.Created < oldest {' 'if oldest < 0 {' ./internal/fleet
 # Choice and admission.
@@ -254,12 +254,12 @@
 switch_off era-of-answers platform/transact.go 'condition, older := olderCondition(transaction, answer.era); older' 'condition, older := olderCondition(transaction, answer.era); older && false' $restores
 switch_off era-of-updates internal/mirror/relay.go 'if update.Era != m.era {' 'if false {' ./internal/mirror
 switch_off era-of-subscribers internal/mirror/relay.go '&& !behind' '' ./internal/mirror
-switch_off rereads-bounded internal/mirror/restore.go 'if now.Sub(m.rereadAt) < rereadPause {' 'if false {' ./internal/mirror
+switch_off rereads-bounded internal/mirror/restore.go 'if now.Sub(m.rereadAt) < rereadInterval {' 'if false {' ./internal/mirror
 switch_off newer-configuration-stays internal/mirror/apply.go 'changes = m.keepNewer(changes)' '' $restores
 switch_off draining-stays internal/mirror/restore.go 'm.config.View.SetLeaving(before.Life())' '_ = before' $restores
-switch_off ended-stay internal/mirror/restore.go 'ended && !lapsed' 'ended && !lapsed && false' $restores
-switch_off copies-after-restore internal/mirror/restore.go 'm.copyEntry, m.copyRevision = copyEntry{}, 0' '' ./internal/mirror
-switch_off era-asked-at-once internal/mirror/reading.go 'return shortestWait, 0' '' $restores
+switch_off ended-stay internal/mirror/restore.go 'removed && !inGrace' 'removed && !inGrace && false' $restores
+switch_off copies-after-restore internal/mirror/restore.go 'm.manifest, m.manifestRevision = snapshotManifest{}, 0' '' ./internal/mirror
+switch_off era-asked-at-once internal/mirror/reading.go 'return minWait, 0' '' $restores
 switch_off renewals-unconfirmed internal/orders/renewal.go 'err == nil && !e.outlived(term)' 'err == nil' $restores
 switch_off last-holder-lost internal/orders/restore.go "return era > 0 && (last == nil" "return era > 0 && last != nil && last.Name == \"\" && (last == nil" $restores
 switch_off entries-outlast-restores internal/poison/guard.go 'g.record.restored(keyValues)' 'g.record.replace(keyValues)' ./internal/poison -run Restore
