--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -58,7 +58,7 @@
 switch_off second-replicas internal/placement/plan.go 'if demand.Rate >= sharedRate {' 'if false {'
 switch_off crowding-cost internal/placement/victims.go 'crowdCost = 0.25' 'crowdCost = 0.0'
 switch_off zone-cost internal/placement/victims.go 'zoneCost = 0.1' 'zoneCost = 0.0'
-switch_off lapsed-records internal/mirror/lapse.go 'if server == nil && granted && m.graceEligible(id) {' 'if server == nil && granted && id == "" {'
+switch_off lapsed-records internal/mirror/grace.go 'if server == nil && granted && m.graceEligible(id) {' 'if server == nil && granted && id == "" {'
 switch_off orders-in internal/forward/admission.go 'if ordersIn > 0 {' 'if ordersIn < 0 {'
 switch_off doubtful-loads internal/placement/plan.go 'have += p.doubtful[name]' ''
 switch_off pause-after-failure internal/mirror/reading.go 'min(max(2*m.failurePause, minFailurePause), maxPause)' 'min(minFailurePause, maxPause)'
--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -37,7 +37,7 @@
 switch_off idle-connections internal/exchange/client.go 'if c.mostIdle > 0 && c.kept >= c.mostIdle {' 'if false {' ./internal/exchange
 switch_off configuration-first internal/mirror/reading.go 'if m.isLarge(own) {' 'if m.isLarge(own) && false {' ./internal/mirror
 switch_off skipped-records internal/mirror/relay.go 'if !m.largeFleet || m.revision == 0 {' 'if true {' ./internal/mirror
-switch_off copy-after-gap internal/mirror/copy.go 'm.snapshotFloor = max(m.snapshotFloor, read.At-1)' '_ = read' ./internal/mirror
+switch_off copy-after-gap internal/mirror/snapshot.go 'm.snapshotFloor = max(m.snapshotFloor, read.At-1)' '_ = read' ./internal/mirror
 switch_off two-steps internal/mirror/tree.go 'len(m.subscribers) < fanOut' 'true' ./internal/mirror
 switch_off new-relay-awaited internal/mirror/election.go 'return now.Sub(m.noRelaySince) < share(electionWaitShare, m.config.Times.Changes)' 'return false' ./internal/mirror
 switch_off wanted-told-at-once internal/orders/push.go 'for _, address := range h.demand.asking(key, now) {' 'for _, address := range h.demand.asking(key, now)[:0] {' ./internal/orders
@@ -136,16 +136,16 @@
 switch_off late-answer internal/mirror/apply.go 'if changes.At <= m.revision || ' 'if ' ./internal/mirror
 switch_off told-configuration internal/mirror/relay.go 'm.known.configuration = max(m.known.configuration, update.Configuration)' '' ./internal/mirror
 switch_off bounded-pushes internal/mirror/relay.go '!can || update.size() > mostFor(len(subscribers))' '!can' ./internal/mirror
-switch_off bounded-memory-of-ends internal/mirror/known.go 'if len(s.removed) <= maxRemoved {' 'if true {' ./internal/mirror
-switch_off record-that-came-back internal/mirror/known.go ' && r.Created == other.Created' '' ./internal/mirror
+switch_off bounded-memory-of-ends internal/mirror/state.go 'if len(s.removed) <= maxRemoved {' 'if true {' ./internal/mirror
+switch_off record-that-came-back internal/mirror/state.go ' && r.Created == other.Created' '' ./internal/mirror
 switch_off read-is-no-snapshot internal/mirror/apply.go 'max(changes.At, changes.Newest)' 'changes.At' ./internal/mirror
 switch_off creation-revision platform/feed.go 'server.Created = event.KeyValue.CreateRevision' '' ./platform
 switch_off digest internal/mirror/digest.go 'm.drifted = m.driftReadAt.IsZero() || ' 'm.drifted = now.IsZero() && ' ./internal/mirror
 switch_off digest-pause internal/mirror/digest.go '>= driftReadInterval' '>= 0' ./internal/mirror
 switch_off own-keys-once internal/mirror/apply.go 'if event.KeyValue.ModRevision > before {' 'if before >= 0 {' ./internal/mirror
-switch_off lapsed-records internal/mirror/lapse.go 'if server == nil && granted && m.graceEligible(id) {' 'if server == nil && granted && id == "" {' ./internal/mirror
-switch_off lapse-without-relay internal/mirror/lapse.go 'if m.storeUnavailable && !m.following {' 'if m.storeUnavailable {' ./internal/mirror
-switch_off lapse-ends internal/mirror/lapse.go 'time.AfterFunc(end.Sub(now), m.endGrace)' '' ./internal/mirror
+switch_off lapsed-records internal/mirror/grace.go 'if server == nil && granted && m.graceEligible(id) {' 'if server == nil && granted && id == "" {' ./internal/mirror
+switch_off lapse-without-relay internal/mirror/grace.go 'if m.storeUnavailable && !m.following {' 'if m.storeUnavailable {' ./internal/mirror
+switch_off lapse-ends internal/mirror/grace.go 'time.AfterFunc(end.Sub(now), m.endGrace)' '' ./internal/mirror
 switch_off pause-after-failure internal/mirror/reading.go 'min(max(2*m.failurePause, minFailurePause), maxPause)' 'min(minFailurePause, maxPause)' ./internal/mirror
 switch_off latest-word internal/fleet/view.go 'before.PlacedVersion > state.PlacedVersion' 'false' ./internal/fleet
 switch_off word-of-earlier-record internal/fleet/view.go 'if placed.Created < oldest {' 'if oldest < 0 {' ./internal/fleet
