--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -72,7 +72,7 @@
 switch_off quota-counters-kept internal/orders/counters.go 'h.config.SavedCounters.save(update.Counters, now)' '' ./platform
 switch_off quota-counters-told internal/orders/counters.go 'changed := heard &&' 'changed := false && heard &&' ./platform
 # Servers' limits.
-switch_off limit-read platform/notices.go 'told.Limit = parseLimit(text)' '_ = parseLimit(text)' ./platform
+switch_off limit-read platform/notices.go 'reported.Limit = parseLimit(text)' '_ = parseLimit(text)' ./platform
 switch_off limit-turn internal/serverlimit/serverlimit.go 'if !limit.Named {
 		return Grant{Within: true}' 'if true {
 		return Grant{Within: true}' ./platform
@@ -102,14 +102,14 @@
 # Deadlines and callers that leave.
 switch_off route-timeout internal/forward/forwarder.go 'deadline := request.Accepted.Add(route.Timeout)' 'deadline := request.Accepted.Add(10 * route.Timeout)' $forward
 switch_off caller-deadline internal/forward/forwarder.go 'if request.Deadline.Before(deadline) {' 'if false {' $forward
-switch_off deadline-at-server platform/backend.go 'writeHeader(&head, headerDeadline, strconv.FormatInt(left, 10))' '_ = left' ./platform
+switch_off deadline-at-server platform/backend.go 'writeHeader(&head, headerDeadline, strconv.FormatInt(remaining, 10))' '_ = remaining' ./platform
 switch_off caller-gone internal/exchange/client.go 'stop := context.AfterFunc(ctx, func() { _ = conn.Close() })' 'stop := context.AfterFunc(context.Background(), func() { _ = conn.Close() })' ./internal/exchange ./platform
 # Answers.
-switch_off answer-identity platform/backend.go 'return answer.Header.Get(headerRequestID) == attempt.Request.ID' 'return true' ./platform
+switch_off answer-identity platform/backend.go 'return response.Header.Get(headerRequestID) == attempt.Request.ID' 'return true' ./platform
 switch_off foreign-costs-connection internal/exchange/client.go 'clean = false' 'clean = true' ./internal/exchange
 switch_off unwritten-costs-connection internal/exchange/client.go '|| !b.written.finished()' '' ./internal/exchange
 switch_off torn-answer-closes platform/ingress.go 'case outcome.HeadSent || outcome.Code == result.CallerGone:
-		// A closed connection is the only honest end of an answer that broke.
+		// Only a closed connection tells the client that the response is incomplete.
 		panic(http.ErrAbortHandler)' 'case outcome.HeadSent || outcome.Code == result.CallerGone:' ./platform
 switch_off whole-short-answers internal/forward/relay.go 'whole, err := io.ReadAll(io.LimitReader(reply.Body, wholeAnswerBytes))
 	if err != nil {' 'whole, err := io.ReadAll(io.LimitReader(reply.Body, wholeAnswerBytes))
@@ -235,7 +235,7 @@
 switch_off objections internal/poison/quarantine.go '&& !now.Before(held.refusesFrom)' '' $poison
 switch_off past-holds internal/poison/ledger.go '(before || t.all > endsToHold)' '(t.all > endsToHold)' $poison
 # What servers tell in their answers.
-switch_off word-of-leaving platform/notices.go 'Leaving: answer.Header.Get(headerLeaving) == leavingYes' 'Leaving: false' ./platform
+switch_off word-of-leaving platform/notices.go 'Leaving: response.Header.Get(headerLeaving) == leavingTrue' 'Leaving: false' ./platform
 switch_off leaving-beside-records internal/fleet/view.go 'if len(v.leaving) == 0 || !v.leaving.has(server.Life()) {' 'if true {' ./internal/fleet
 switch_off leaving-by-life internal/fleet/leaving.go 'case later(record.Born, known.born):' 'case false:' ./internal/fleet
 switch_off leaving-told-to-holder internal/orders/link.go 'Leaving: l.config.View.Leaving(),' '' ./platform
@@ -248,10 +248,10 @@
 restores="./platform -run Restore|Backup|Revisions|Election|Holder -skip TestTokensRise"
 switch_off era-of-revisions platform/era.go 'return max(era-t.first, 0)' 'return 0' $restores
 switch_off first-era platform/era.go 'return max(era-t.first, 0)' 'return era' $restores
-switch_off first-era-written platform/transact.go 'first, added := s.eras.unrecorded()' 'first, added := s.eras.unrecorded(); added = false' $restores
-switch_off era-of-watches platform/watch.go '|| answer.era != outside.EraOf(revision)' '' $restores
-switch_off era-of-conditions platform/transact.go 'revision = neverRevision' '_ = neverRevision' $restores
-switch_off era-of-answers platform/transact.go 'condition, older := olderCondition(transaction, answer.era); older' 'condition, older := olderCondition(transaction, answer.era); older && false' $restores
+switch_off first-era-written platform/transact.go 'first, added := s.eras.firstToStore()' 'first, added := s.eras.firstToStore(); added = false' $restores
+switch_off era-of-watches platform/watch.go '|| response.era != outside.EraOf(revision)' '' $restores
+switch_off era-of-conditions platform/transact.go 'revision = unmatchableRevision' '_ = unmatchableRevision' $restores
+switch_off era-of-answers platform/transact.go 'condition, differs := otherEraCondition(transaction, response.era); differs' 'condition, differs := otherEraCondition(transaction, response.era); differs && false' $restores
 switch_off era-of-updates internal/mirror/relay.go 'if update.Era != m.era {' 'if false {' ./internal/mirror
 switch_off era-of-subscribers internal/mirror/relay.go '&& !behind' '' ./internal/mirror
 switch_off rereads-bounded internal/mirror/restore.go 'if now.Sub(m.rereadAt) < rereadPause {' 'if false {' ./internal/mirror
