--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -50,8 +50,8 @@
 switch_off retry-budget internal/forward/budget.go 'if float64(counts.repeats.sum(now)+1) > allowed {' 'if false && allowed < 0 {' $forward
 switch_off budget-share internal/forward/budget.go 'b.limits.Slack/float64(b.nodes)' 'b.limits.Slack' $forward
 # Tenants and what crosses the edge.
-switch_off reserved-headers platform/headers.go '&& !reserved(name)' '' ./platform
-switch_off headers-of-connection platform/headers.go 'if clientHeaders[name] {' 'if clientHeaders[name] && !connection[name] {' ./platform
+switch_off reserved-headers platform/header_filter.go '&& !reserved(name)' '' ./platform
+switch_off headers-of-connection platform/header_filter.go 'if clientHeaders[name] {' 'if clientHeaders[name] && !connection[name] {' ./platform
 switch_off key-required internal/forward/tenant.go 'if route.Anonymous {' 'if true || route.Anonymous {' ./platform
 switch_off key-maybe-new internal/forward/tenant.go 'if f.behind() {' 'if false && f.behind() {' ./platform
 switch_off quota-asked internal/forward/tenant.go 'if within {' 'if true || within {' ./platform
