--- a/cmd/hatchplank-node/assemble.go
+++ b/cmd/hatchplank-node/assemble.go
@@ -175,8 +175,8 @@
 func (n *node) assemblePoison() {
 	n.poison = poison.NewGuard(poison.Config{
 		View: n.view, Connect: n.servers.Connect, Collectors: n.collectors, Followers: n.holder.ReportingNodes,
-		Transport: n.transport, Address: n.transport.Address(), Store: n.store, EntriesPrefix: poisonPrefix, EndsPrefix: endsPrefix,
-		Counted: n.metrics.ServerEnded, Logger: n.logger,
+		Transport: n.transport, Address: n.transport.Address(), Store: n.store, EntriesPrefix: poisonPrefix, CrashesPrefix: endsPrefix,
+		OnCrash: n.metrics.ServerEnded, Logger: n.logger,
 	})
 }
 
--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -32,8 +32,8 @@
 	return m.LoadTime
 }
 
-// HeldMB is the memory that the model takes with this many of its adapters, in MB.
-func (m *Model) HeldMB(adapters int) float64 {
+// FootprintMB is the memory that the model takes with this many of its adapters, in MB.
+func (m *Model) FootprintMB(adapters int) float64 {
 	return m.SizeMB + float64(adapters)*m.AdapterMB
 }
 
@@ -45,15 +45,15 @@
 	KVTokens int
 	// MemoryMB is a server's memory for weights and adapters, in MB.
 	MemoryMB float64
-	// AdapterPlaces is how many adapters a server holds at once.
-	AdapterPlaces int
+	// AdapterSlots is how many adapters a server holds at once.
+	AdapterSlots int
 	// LoadsPerSecond is what the weight store allows over all servers.
 	LoadsPerSecond float64
 	Models         map[string]*Model
 }
 
-// LongestLoad is the longest time that a load from the weight store takes undisturbed.
-func (e *Engine) LongestLoad() time.Duration {
+// MaxLoadTime is the longest time that a load from the weight store takes undisturbed.
+func (e *Engine) MaxLoadTime() time.Duration {
 	longest := time.Duration(0)
 	for _, model := range e.Models {
 		longest = max(longest, model.LoadTime)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -72,10 +72,10 @@
 })
 
 var _ = Describe("view", func() {
-	held := func(models ...string) map[string]fleet.Held {
-		made := map[string]fleet.Held{}
+	held := func(models ...string) map[string]fleet.LoadedModel {
+		made := map[string]fleet.LoadedModel{}
 		for _, model := range models {
-			made[model] = fleet.Held{}
+			made[model] = fleet.LoadedModel{}
 		}
 		return made
 	}
@@ -94,7 +94,7 @@
 
 	It("shows what the holder says over a server's record, until it is forgotten", func() {
 		view := newView()
-		view.Place([]*fleet.Server{{ID: "s", Models: held("b")}, {ID: "unknown", Models: held("c")}})
+		view.ApplyPlacements([]*fleet.Server{{ID: "s", Models: held("b")}, {ID: "unknown", Models: held("c")}})
 		Expect(view.Load().Servers).To(HaveLen(1))
 		Expect(view.Load().Servers["s"].Holds("b", "")).To(BeTrue())
 		Expect(view.Load().Servers["s"].Holds("a", "")).To(BeFalse())
@@ -102,13 +102,13 @@
 		view.UpdateServers(map[string]*fleet.Server{"s": {ID: "s", Pool: "p", Models: held("a"), Draining: true}})
 		Expect(view.Load().Servers["s"].Holds("b", "")).To(BeTrue())
 		Expect(view.Load().Servers["s"].Draining).To(BeTrue())
-		view.ForgetPlaced()
+		view.ClearPlacements()
 		Expect(view.Load().Servers["s"].Holds("a", "")).To(BeTrue())
 	})
 
 	It("drops what was said of a server that is gone", func() {
 		view := newView()
-		view.Place([]*fleet.Server{{ID: "s", Models: held("b")}})
+		view.ApplyPlacements([]*fleet.Server{{ID: "s", Models: held("b")}})
 		view.UpdateServers(map[string]*fleet.Server{"s": nil})
 		Expect(view.Load().Pool("p")).To(BeEmpty())
 		view.ReplaceServers(map[string]*fleet.Server{"s": {ID: "s", Pool: "p", Models: held("a")}})
@@ -117,10 +117,10 @@
 
 	It("keeps the holder's latest word, in whatever order it arrives", func() {
 		view := newView()
-		view.Place([]*fleet.Server{{ID: "s", Models: held("b"), PlacedVersion: 7}})
-		view.Place([]*fleet.Server{{ID: "s", Models: held("c"), PlacedVersion: 6}})
+		view.ApplyPlacements([]*fleet.Server{{ID: "s", Models: held("b"), PlacementVersion: 7}})
+		view.ApplyPlacements([]*fleet.Server{{ID: "s", Models: held("c"), PlacementVersion: 6}})
 		Expect(view.Load().Servers["s"].Holds("b", "")).To(BeTrue())
-		view.Place([]*fleet.Server{{ID: "s", Models: held("c"), PlacedVersion: 8}})
+		view.ApplyPlacements([]*fleet.Server{{ID: "s", Models: held("c"), PlacementVersion: 8}})
 		Expect(view.Load().Servers["s"].Holds("c", "")).To(BeTrue())
 	})
 
@@ -131,12 +131,12 @@
 		for _, take := range []func(*fleet.View, map[string]*fleet.Server){(*fleet.View).UpdateServers, (*fleet.View).ReplaceServers} {
 			view := fleet.NewView()
 			view.UpdateServers(record(5))
-			view.Place([]*fleet.Server{{ID: "s", Models: held("b"), Created: 5}})
+			view.ApplyPlacements([]*fleet.Server{{ID: "s", Models: held("b"), Created: 5}})
 			take(view, record(5))
 			Expect(view.Load().Servers["s"].Holds("b", "")).To(BeTrue())
 			take(view, record(9))
 			Expect(view.Load().Servers["s"].Holds("a", "")).To(BeTrue())
-			view.Place([]*fleet.Server{{ID: "s", Models: held("c"), Created: 12}})
+			view.ApplyPlacements([]*fleet.Server{{ID: "s", Models: held("c"), Created: 12}})
 			view.UpdateServers(map[string]*fleet.Server{"s": nil})
 			take(view, record(12))
 			Expect(view.Load().Servers["s"].Holds("c", "")).To(BeTrue())
@@ -152,7 +152,7 @@
 	})
 
 	It("needs the adapter where one is asked for", func() {
-		server := &fleet.Server{Models: map[string]fleet.Held{"a": {Adapters: map[string]bool{"a1": true}}}}
+		server := &fleet.Server{Models: map[string]fleet.LoadedModel{"a": {Adapters: map[string]bool{"a1": true}}}}
 		Expect(server.Holds("", "")).To(BeTrue())
 		Expect(server.Holds("a", "a1")).To(BeTrue())
 		Expect(server.Holds("a", "a2")).To(BeFalse())
--- a/internal/fleet/leaving.go
+++ b/internal/fleet/leaving.go
@@ -21,7 +21,7 @@
 }
 
 // add notes a life, and forgets those that ended long ago. It reports whether that was new.
-func (l leavingLives) add(life Life, records map[string]*Server) bool {
+func (l leavingLives) add(life Incarnation, records map[string]*Server) bool {
 	if record := records[life.ID]; record != nil && later(record.Born, life.Born) {
 		// The word came late: another life has begun since.
 		return false
@@ -53,20 +53,20 @@
 }
 
 // has reports whether a life leaves.
-func (l leavingLives) has(life Life) bool {
+func (l leavingLives) has(life Incarnation) bool {
 	known, leaves := l[life.ID]
 	return leaves && !later(life.Born, known.born)
 }
 
 // unrecorded are the lives whose records say that they are ready, in order of ID.
-func (l leavingLives) unrecorded(records map[string]*Server) []Life {
-	var lives []Life
+func (l leavingLives) unrecorded(records map[string]*Server) []Incarnation {
+	var lives []Incarnation
 	for id, known := range l {
 		if record := records[id]; record != nil && !record.Draining {
-			lives = append(lives, Life{ID: id, Born: known.born})
+			lives = append(lives, Incarnation{ID: id, Born: known.born})
 		}
 	}
-	slices.SortFunc(lives, func(a, b Life) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(lives, func(a, b Incarnation) int { return strings.Compare(a.ID, b.ID) })
 	return lives
 }
 
--- a/internal/fleet/leaving_test.go
+++ b/internal/fleet/leaving_test.go
@@ -14,7 +14,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		view := NewView()
-		told, newest := map[Life]bool{}, map[string]int64{}
+		told, newest := map[Incarnation]bool{}, map[string]int64{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			id := fmt.Sprint("s", rapid.IntRange(0, 2).Draw(t, "id"))
 			switch rapid.IntRange(0, 5).Draw(t, "kind") {
@@ -34,15 +34,15 @@
 				}
 				view.ReplaceServers(records)
 			case 4: // The holder's word of what the server holds comes.
-				view.Place([]*Server{{ID: id, Models: map[string]Held{"m": {}}, PlacedVersion: 1}})
+				view.ApplyPlacements([]*Server{{ID: id, Models: map[string]LoadedModel{"m": {}}, PlacementVersion: 1}})
 			case 5: // An answer tells, maybe one of an earlier life.
-				life := Life{ID: id, Born: 1 + rapid.Int64Range(0, newest[id]).Draw(t, "born")}
+				life := Incarnation{ID: id, Born: 1 + rapid.Int64Range(0, newest[id]).Draw(t, "born")}
 				view.SetLeaving(life)
 				told[life] = true
 			}
 			for _, server := range view.Load().Servers {
-				g.Expect(server.ToldLeaving).To(Equal(told[server.Life()]), fmt.Sprint(server.Life(), told))
-				g.Expect(server.Draining).To(Equal(server.ToldLeaving))
+				g.Expect(server.ReportedLeaving).To(Equal(told[server.Incarnation()]), fmt.Sprint(server.Incarnation(), told))
+				g.Expect(server.Draining).To(Equal(server.ReportedLeaving))
 			}
 		}
 	})
@@ -53,8 +53,8 @@
 	RegisterTestingT(t)
 	view := NewView()
 	view.UpdateServers(map[string]*Server{"s": {ID: "s", Pool: "p"}})
-	Expect(view.SetLeaving(Life{ID: "s"})).To(BeTrue())
-	Expect(view.SetLeaving(Life{ID: "s"})).To(BeFalse())
+	Expect(view.SetLeaving(Incarnation{ID: "s"})).To(BeTrue())
+	Expect(view.SetLeaving(Incarnation{ID: "s"})).To(BeFalse())
 	view.UpdateServers(map[string]*Server{"s": nil})
 	Expect(view.Leaving()).To(BeEmpty())
 	view.UpdateServers(map[string]*Server{"s": {ID: "s", Pool: "p", Created: 7}})
@@ -62,7 +62,7 @@
 	// A node of another build passed the record on without its birth, which is known now.
 	view.UpdateServers(map[string]*Server{"s": {ID: "s", Pool: "p", Born: 5}})
 	Expect(view.Load().Servers["s"].Draining).To(BeTrue())
-	Expect(view.Leaving()).To(Equal([]Life{{ID: "s", Born: 5}}))
+	Expect(view.Leaving()).To(Equal([]Incarnation{{ID: "s", Born: 5}}))
 	view.UpdateServers(map[string]*Server{"s": {ID: "s", Pool: "p", Born: 6}})
 	Expect(view.Load().Servers["s"].Draining).To(BeFalse())
 	Expect(view.Leaving()).To(BeEmpty())
@@ -73,6 +73,6 @@
 	RegisterTestingT(t)
 	view := NewView()
 	view.ReplaceServers(map[string]*Server{"s": {ID: "s", Pool: "p"}})
-	view.SetLeaving(Life{ID: "s"})
+	view.SetLeaving(Incarnation{ID: "s"})
 	Expect(view.Record("s").Draining).To(BeFalse())
 }
--- a/internal/fleet/route.go
+++ b/internal/fleet/route.go
@@ -42,9 +42,9 @@
 	LatencyObjective time.Duration
 	// GapObjective is the longest pause between events; zero if none is set.
 	GapObjective time.Duration
-	// CallerPatience is how long callers wait for the next event of a stream, the
+	// CallerWaitLimit is how long callers wait for the next event of a stream, the
 	// first one included; zero if they wait until their deadline.
-	CallerPatience time.Duration
+	CallerWaitLimit time.Duration
 	// MaxAttempts is the number of servers that one request may be sent to.
 	MaxAttempts int
 	// Priority ranks the route; 0 is the most urgent.
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -19,46 +19,48 @@
 	Born int64
 	// Draining servers get no new work.
 	Draining bool
-	// ToldLeaving: it drains since the server told a node so in an answer, whatever its
+	// ReportedLeaving: it drains since the server told a node so in an answer, whatever its
 	// record says.
-	ToldLeaving bool
+	ReportedLeaving bool
 	// Models that are ready, with their adapters.
-	Models map[string]Held
+	Models map[string]LoadedModel
 	// recorded are the models that the server's own record shows, where the holder
 	// of orders knows better; nil: Models.
-	recorded map[string]Held
+	recorded map[string]LoadedModel
 	// InMemory and OnDisk name the models with a copy of their weights there.
 	InMemory, OnDisk map[string]bool
 	// Created is the revision of the store at which the server's record came into
 	// being. One that lapsed and came back has another, even if it says the same.
 	Created int64
-	// PlacedVersion is the version of the order holder's placement, for what it told
+	// PlacementVersion is the version of the order holder's placement, for what it told
 	// of the models; it grows during a holder's term.
-	PlacedVersion uint64
+	PlacementVersion uint64
 	// SeenAt is when this state was told.
 	SeenAt time.Time
 }
 
-// Life of a server.
-type Life struct {
+// Incarnation of a server.
+type Incarnation struct {
 	ID   string
 	Born int64
 }
 
 // Follows reports whether the life is known to have begun after another one under the ID.
-func (l Life) Follows(other Life) bool { return l.ID == other.ID && later(l.Born, other.Born) }
+func (l Incarnation) Follows(other Incarnation) bool {
+	return l.ID == other.ID && later(l.Born, other.Born)
+}
 
-// Life of the server that the state is of.
-func (s *Server) Life() Life { return Life{ID: s.ID, Born: s.Born} }
+// Incarnation of the server that the state is of.
+func (s *Server) Incarnation() Incarnation { return Incarnation{ID: s.ID, Born: s.Born} }
 
-// Held is a model that a server holds.
-type Held struct {
+// LoadedModel is a model that a server holds.
+type LoadedModel struct {
 	Adapters map[string]bool
 }
 
-// NewHeld returns a model that is held with the adapters.
-func NewHeld(adapters []string) Held {
-	held := Held{Adapters: make(map[string]bool, len(adapters))}
+// NewLoadedModel returns a model that is held with the adapters.
+func NewLoadedModel(adapters []string) LoadedModel {
+	held := LoadedModel{Adapters: make(map[string]bool, len(adapters))}
 	for _, adapter := range adapters {
 		held.Adapters[adapter] = true
 	}
@@ -66,7 +68,7 @@
 }
 
 // AdapterNames lists the adapters in order; it is never nil.
-func (h Held) AdapterNames() []string {
+func (h LoadedModel) AdapterNames() []string {
 	names := make([]string, 0, len(h.Adapters))
 	for adapter := range h.Adapters {
 		names = append(names, adapter)
@@ -76,7 +78,7 @@
 }
 
 // Recorded returns the models that the server's own record shows.
-func (s *Server) Recorded() map[string]Held {
+func (s *Server) Recorded() map[string]LoadedModel {
 	if s.recorded != nil {
 		return s.recorded
 	}
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -142,7 +142,7 @@
 // Its record may say that it is ready for long: while the store is away, or behind. Without
 // this a node sent such a server three more requests in the 3 s after it knew (store away for
 // 12 s; one node's log lines).
-func (v *View) SetLeaving(life Life) bool {
+func (v *View) SetLeaving(life Incarnation) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if !v.leaving.add(life, v.records) {
@@ -155,7 +155,7 @@
 }
 
 // Leaving returns the lives that told that they leave and whose records don't, in order of ID.
-func (v *View) Leaving() []Life {
+func (v *View) Leaving() []Incarnation {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.leaving.unrecorded(v.records)
@@ -180,17 +180,17 @@
 	}
 }
 
-// Place overlays what the order holder knows of the models on servers, unless a
+// ApplyPlacements overlays what the order holder knows of the models on servers, unless a
 // later version is known: messages may overtake each other, and an older word
 // would stand until the next change. A nil map of models takes the overlay of
 // that server away.
-func (v *View) Place(states []*Server) {
+func (v *View) ApplyPlacements(states []*Server) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	changed := make([]string, 0, len(states))
 	for _, state := range states {
 		changed = append(changed, state.ID)
-		if before := v.placed[state.ID]; before != nil && before.PlacedVersion > state.PlacedVersion {
+		if before := v.placed[state.ID]; before != nil && before.PlacementVersion > state.PlacementVersion {
 			continue
 		}
 		if state.Models == nil {
@@ -202,8 +202,8 @@
 	v.publishChanged(changed)
 }
 
-// ForgetPlaced drops the overlay, for example when the holder is lost.
-func (v *View) ForgetPlaced() {
+// ClearPlacements drops the overlay, for example when the holder is lost.
+func (v *View) ClearPlacements() {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if len(v.placed) == 0 {
@@ -289,11 +289,11 @@
 // lock held.
 func (v *View) shown(record *Server) *Server {
 	server := overlay(record, v.placed[record.ID])
-	if len(v.leaving) == 0 || !v.leaving.has(server.Life()) {
+	if len(v.leaving) == 0 || !v.leaving.has(server.Incarnation()) {
 		return server
 	}
 	leaving := *server
-	leaving.Draining, leaving.ToldLeaving = true, true
+	leaving.Draining, leaving.ReportedLeaving = true, true
 	return &leaving
 }
 
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -25,9 +25,9 @@
 				case 0:
 					changes[id] = nil
 				case 1:
-					changes[id] = &Server{ID: id, Pool: fmt.Sprint("p", rapid.IntRange(0, 1).Draw(t, "pool")), Models: map[string]Held{"m": {}}}
+					changes[id] = &Server{ID: id, Pool: fmt.Sprint("p", rapid.IntRange(0, 1).Draw(t, "pool")), Models: map[string]LoadedModel{"m": {}}}
 				case 2:
-					states = append(states, &Server{ID: id, Models: map[string]Held{"n": {}}, PlacedVersion: version + 1})
+					states = append(states, &Server{ID: id, Models: map[string]LoadedModel{"n": {}}, PlacementVersion: version + 1})
 				}
 			}
 			view.UpdateServers(changes)
@@ -41,7 +41,7 @@
 				}
 				records[id] = server
 			}
-			view.Place(states)
+			view.ApplyPlacements(states)
 			for _, state := range states {
 				placed[state.ID] = state
 			}
@@ -71,10 +71,10 @@
 	records := map[string]*Server{}
 	for i := range 10000 {
 		id := fmt.Sprintf("i-%08x", i*2654435761)
-		records[id] = &Server{ID: id, Pool: "p", Models: map[string]Held{fmt.Sprint("m", i%300): {}}}
+		records[id] = &Server{ID: id, Pool: "p", Models: map[string]LoadedModel{fmt.Sprint("m", i%300): {}}}
 	}
 	view.ReplaceServers(records)
-	one := &Server{ID: "i-00000000", Pool: "p", Models: map[string]Held{"m1": {}}}
+	one := &Server{ID: "i-00000000", Pool: "p", Models: map[string]LoadedModel{"m1": {}}}
 	b.Run("change", func(b *testing.B) {
 		for b.Loop() {
 			view.UpdateServers(map[string]*Server{one.ID: one})
@@ -82,7 +82,7 @@
 	})
 	b.Run("all", func(b *testing.B) {
 		for b.Loop() {
-			view.ForgetPlaced()
+			view.ClearPlacements()
 			view.ReplaceServers(records)
 		}
 	})
--- a/internal/forward/admission_test.go
+++ b/internal/forward/admission_test.go
@@ -45,7 +45,7 @@
 		go func() {
 			time.Sleep(2 * time.Second)
 			Expect(b.forwarder.Demand()).To(ContainElement(HaveField("Waiting", 1)))
-			b.view.Place([]*fleet.Server{{ID: "m2", Models: holds("n")}})
+			b.view.ApplyPlacements([]*fleet.Server{{ID: "m2", Models: holds("n")}})
 		}()
 		outcome := b.forwarder.Serve(context.Background(), request("patient", "n", 10*time.Second), &recorder{})
 		Expect(outcome.Code).To(Equal(result.OK))
@@ -101,7 +101,7 @@
 		Expect(first.Code).To(Equal(result.NoBackEnd))
 		go func() {
 			time.Sleep(1200 * time.Millisecond)
-			b.view.Place([]*fleet.Server{{ID: "m2", Models: holds("n")}})
+			b.view.ApplyPlacements([]*fleet.Server{{ID: "m2", Models: holds("n")}})
 		}()
 		second := b.forwarder.Serve(context.Background(), request("stream", "n", 4*time.Second), &recorder{})
 		Expect(second.Code).To(Equal(result.OK))
@@ -143,7 +143,7 @@
 		started := time.Now()
 		time.AfterFunc(30*time.Millisecond, func() { b.orders.set("n", started.Add(500*time.Millisecond)) })
 		time.AfterFunc(500*time.Millisecond, func() {
-			b.view.Place([]*fleet.Server{{ID: "m1", Models: holds("m", "n")}})
+			b.view.ApplyPlacements([]*fleet.Server{{ID: "m1", Models: holds("m", "n")}})
 		})
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "n", 5*time.Second), &recorder{})
 		Expect(outcome.Code).To(Equal(result.OK), "the plan's time is within the objective, the store's is not")
@@ -177,7 +177,7 @@
 		started := time.Now()
 		b.orders.set("n", started.Add(400*time.Millisecond))
 		time.AfterFunc(300*time.Millisecond, func() { b.orders.set("n", started.Add(2*time.Second)) })
-		time.AfterFunc(2*time.Second, func() { b.view.Place([]*fleet.Server{{ID: "m1", Models: holds("m", "n")}}) })
+		time.AfterFunc(2*time.Second, func() { b.view.ApplyPlacements([]*fleet.Server{{ID: "m1", Models: holds("m", "n")}}) })
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "n", 5*time.Second), &recorder{})
 		Expect(outcome.Code).To(Equal(result.OK), "refused after 0.3 s, it would be answered later than this")
 	})
@@ -223,18 +223,18 @@
 	inVirtualTime(t, func(b *bench) {
 		for _, patience := range []time.Duration{0, 2 * time.Second} {
 			route := *testRoutes()[0]
-			route.CallerPatience = patience
+			route.CallerWaitLimit = patience
 			b.view.SetConfiguration(fleet.NewConfiguration(2, int64(2+patience), []*fleet.Route{&route}, []*fleet.Pool{{
 				Name: poolOfModels, Engine: testConfiguration().Pools[poolOfModels].Engine,
 			}}, fleet.Limits{}))
 			b.forwarder.Serve(context.Background(), request("stream", "m", 20*time.Second), &recorder{})
 			started := time.Now()
 			b.orders.set("n", started.Add(3*time.Second))
-			time.AfterFunc(3*time.Second, func() { b.view.Place([]*fleet.Server{{ID: "m1", Models: holds("m", "n")}}) })
+			time.AfterFunc(3*time.Second, func() { b.view.ApplyPlacements([]*fleet.Server{{ID: "m1", Models: holds("m", "n")}}) })
 			outcome := b.forwarder.Serve(context.Background(), request("stream", "n", 10*time.Second), &recorder{})
 			if patience == 0 {
 				Expect(outcome.Code).To(Equal(result.OK))
-				b.view.ForgetPlaced()
+				b.view.ClearPlacements()
 				continue
 			}
 			Expect(outcome.Code).To(Equal(result.NoBackEnd))
--- a/internal/forward/backoff.go
+++ b/internal/forward/backoff.go
@@ -31,7 +31,7 @@
 // stillTakes reports whether a server that was chosen before has not told otherwise since.
 func (f *Forwarder) stillTakes(server *fleet.Server) bool {
 	listed := f.view.Load().Servers[server.ID]
-	leaves := listed != nil && listed.ToldLeaving
+	leaves := listed != nil && listed.ReportedLeaving
 	return !leaves && !time.Now().Before(f.backoffs.BackoffUntil(server))
 }
 
--- a/internal/forward/backoff_test.go
+++ b/internal/forward/backoff_test.go
@@ -100,7 +100,7 @@
 func TestServerThatWasChosenIsNotSentToAfterItsWord(t *testing.T) {
 	for name, tells := range map[string]func(b *bench, backoffs *askedBackoffs){
 		"pause":   func(_ *bench, backoffs *askedBackoffs) { backoffs.ask(3*time.Second, "m1") },
-		"leaving": func(b *bench, _ *askedBackoffs) { b.view.SetLeaving(fleet.Life{ID: "m1"}) },
+		"leaving": func(b *bench, _ *askedBackoffs) { b.view.SetLeaving(fleet.Incarnation{ID: "m1"}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			inBackoffs(t, func(b *bench, backoffs *askedBackoffs) {
--- a/internal/forward/fakes_test.go
+++ b/internal/forward/fakes_test.go
@@ -45,7 +45,7 @@
 }
 
 func testConfiguration() *fleet.Configuration {
-	engine := &fleet.Engine{Slots: 8, MemoryMB: 200, AdapterPlaces: 2, LoadsPerSecond: 4, Models: map[string]*fleet.Model{
+	engine := &fleet.Engine{Slots: 8, MemoryMB: 200, AdapterSlots: 2, LoadsPerSecond: 4, Models: map[string]*fleet.Model{
 		"m": {Name: "m", SizeMB: 70, LoadTime: 2 * time.Second},
 		"n": {Name: "n", SizeMB: 70, LoadTime: 2 * time.Second},
 	}}
@@ -211,10 +211,10 @@
 	observed []Observation
 }
 
-func holds(models ...string) map[string]fleet.Held {
-	held := map[string]fleet.Held{}
+func holds(models ...string) map[string]fleet.LoadedModel {
+	held := map[string]fleet.LoadedModel{}
 	for _, model := range models {
-		held[model] = fleet.Held{Adapters: map[string]bool{}}
+		held[model] = fleet.LoadedModel{Adapters: map[string]bool{}}
 	}
 	return held
 }
--- a/internal/forward/flow.go
+++ b/internal/forward/flow.go
@@ -47,10 +47,10 @@
 
 // answerBy is until when an answer must begin for the caller to be there.
 func (fl *flow) answerBy() time.Time {
-	if fl.route.CallerPatience <= 0 {
+	if fl.route.CallerWaitLimit <= 0 {
 		return fl.deadline
 	}
-	leaves := fl.request.Accepted.Add(fl.route.CallerPatience - finalMargin)
+	leaves := fl.request.Accepted.Add(fl.route.CallerWaitLimit - finalMargin)
 	if leaves.Before(fl.deadline) {
 		return leaves
 	}
--- a/internal/forward/limit_test.go
+++ b/internal/forward/limit_test.go
@@ -161,7 +161,7 @@
 		},
 		"server leaves": func(b *bench, _ *fakeLimits) {
 			b.view.UpdateServers(map[string]*fleet.Server{"m2": nil})
-			time.AfterFunc(300*time.Millisecond, func() { b.view.SetLeaving(fleet.Life{ID: "m1"}) })
+			time.AfterFunc(300*time.Millisecond, func() { b.view.SetLeaving(fleet.Incarnation{ID: "m1"}) })
 			outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 5*time.Second), &recorder{})
 			Expect(outcome.Ran).To(Equal(result.RanNo))
 			Expect(b.backend.servers()).To(BeEmpty())
--- a/internal/inspect/inspect_test.go
+++ b/internal/inspect/inspect_test.go
@@ -20,7 +20,7 @@
 	view := fleet.NewView()
 	view.SetConfiguration(fleet.NewConfiguration(7, 42, []*fleet.Route{{Host: "h", Prefix: "/a/"}}, nil, fleet.Limits{}))
 	view.ReplaceServers(map[string]*fleet.Server{
-		"i-2": {ID: "i-2", Pool: "models", Zone: "z", Models: map[string]fleet.Held{"m": {Adapters: map[string]bool{"a2": true, "a1": true}}}},
+		"i-2": {ID: "i-2", Pool: "models", Zone: "z", Models: map[string]fleet.LoadedModel{"m": {Adapters: map[string]bool{"a2": true, "a1": true}}}},
 		"i-1": {ID: "i-1", Pool: "models", Zone: "y", Draining: true},
 	})
 	return &inspect.Source{
--- a/internal/mirror/copy_format.go
+++ b/internal/mirror/copy_format.go
@@ -115,9 +115,9 @@
 
 // modelSets shares equal sets of models between servers, which seldom differ in them:
 // 10,000 servers with two models each otherwise take 8 MB for their maps.
-type modelSets map[string]map[string]fleet.Held
+type modelSets map[string]map[string]fleet.LoadedModel
 
-func (s modelSets) of(models []ModelRecord) map[string]fleet.Held {
+func (s modelSets) of(models []ModelRecord) map[string]fleet.LoadedModel {
 	var key strings.Builder
 	for _, model := range models {
 		key.WriteString(model.Name)
@@ -129,9 +129,9 @@
 	}
 	found, known := s[key.String()]
 	if !known {
-		found = make(map[string]fleet.Held, len(models))
+		found = make(map[string]fleet.LoadedModel, len(models))
 		for _, model := range models {
-			found[model.Name] = fleet.NewHeld(model.Adapters)
+			found[model.Name] = fleet.NewLoadedModel(model.Adapters)
 		}
 		s[key.String()] = found
 	}
--- a/internal/mirror/fakes_test.go
+++ b/internal/mirror/fakes_test.go
@@ -94,9 +94,9 @@
 }
 
 func (s *fakeStore) put(id string, draining bool, models ...string) {
-	held := map[string]fleet.Held{}
+	held := map[string]fleet.LoadedModel{}
 	for _, model := range models {
-		held[model] = fleet.Held{Adapters: map[string]bool{}}
+		held[model] = fleet.LoadedModel{Adapters: map[string]bool{}}
 	}
 	s.add(fakeChange{server: id, record: &fleet.Server{ID: id, Pool: "p", Draining: draining, Models: held}})
 }
--- a/internal/mirror/restore.go
+++ b/internal/mirror/restore.go
@@ -91,7 +91,7 @@
 	for id, server := range servers {
 		before := m.config.View.Record(id)
 		if before != nil && before.Draining && !server.Draining {
-			m.config.View.SetLeaving(before.Life())
+			m.config.View.SetLeaving(before.Incarnation())
 		}
 		_, lapsed := m.lapsed[id]
 		if _, ended := m.ended[id]; ended && !lapsed {
--- a/internal/notice/limits.go
+++ b/internal/notice/limits.go
@@ -29,7 +29,7 @@
 
 // limitEntry is what is known of the limit of a server's life.
 type limitEntry struct {
-	life  fleet.Life
+	life  fleet.Incarnation
 	limit Limit
 	// at is when it was heard, by this node or another one.
 	at time.Time
@@ -41,7 +41,7 @@
 
 // HeardLimit is a server's limit, or that it names none, as one node tells others.
 type HeardLimit struct {
-	Life  fleet.Life
+	Life  fleet.Incarnation
 	Limit Limit
 	// Age of the answer that said it.
 	Age time.Duration
@@ -57,7 +57,7 @@
 
 // hear takes over what an answer says of its server's limit, and reports whether that
 // changed what is known.
-func (l *limitBook) hear(life fleet.Life, limit Limit, asked Asked, now time.Time) bool {
+func (l *limitBook) hear(life fleet.Incarnation, limit Limit, asked Asked, now time.Time) bool {
 	known, isKnown := l.entries[life.ID]
 	switch {
 	case isKnown && known.life.Follows(life):
@@ -114,7 +114,7 @@
 // endedBy reports whether an answer that names no limit ends the one that is known: it is
 // of a later life, or of a request that was sent after the limit was heard, and ran. Servers
 // need not name it where they refuse, or answer orders and questions.
-func (e limitEntry) endedBy(life fleet.Life, asked Asked) bool {
+func (e limitEntry) endedBy(life fleet.Incarnation, asked Asked) bool {
 	if !e.limit.Named {
 		return false
 	}
@@ -124,7 +124,7 @@
 // of returns the limit of a server; the zero limit if none is known.
 func (l *limitBook) of(server *fleet.Server) Limit {
 	known, isKnown := l.entries[server.ID]
-	if !isKnown || server.Life().Follows(known.life) {
+	if !isKnown || server.Incarnation().Follows(known.life) {
 		return Limit{}
 	}
 	return known.limit
@@ -150,7 +150,7 @@
 		return
 	}
 	b.mutex.Lock()
-	changed := b.limits.hear(server.Life(), limit, asked, time.Now())
+	changed := b.limits.hear(server.Incarnation(), limit, asked, time.Now())
 	b.mutex.Unlock()
 	if changed {
 		b.signal()
--- a/internal/notice/limits_test.go
+++ b/internal/notice/limits_test.go
@@ -91,20 +91,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
 		b := newBoard()
-		life := b.server.Life()
+		life := b.server.Incarnation()
 		time.Sleep(time.Minute)
 		Expect(b.TellLimits([]HeardLimit{{Life: life, Limit: of(2), Age: time.Second}}, "x")).To(BeTrue())
 		Expect(b.Limit(b.server)).To(Equal(of(2)))
 		Expect(b.TellLimits([]HeardLimit{{Life: life, Limit: of(2)}}, "y")).To(BeFalse(), "nothing new")
 		Expect(b.TellLimits([]HeardLimit{{Life: life, Age: 500 * time.Millisecond}}, "x")).To(BeFalse(), "older than the last word")
 		Expect(b.Limit(b.server)).To(Equal(of(2)))
-		Expect(b.TellLimits([]HeardLimit{{Life: fleet.Life{ID: "s", Born: 4}, Limit: of(2)}}, "y")).To(BeFalse(), "a birth that is not known here")
+		Expect(b.TellLimits([]HeardLimit{{Life: fleet.Incarnation{ID: "s", Born: 4}, Limit: of(2)}}, "y")).To(BeFalse(), "a birth that is not known here")
 		time.Sleep(time.Second)
 		Expect(b.TellLimits([]HeardLimit{{Life: life}}, "x")).To(BeTrue())
 		Expect(b.Limit(b.server)).To(BeZero())
 		Expect(b.TellLimits([]HeardLimit{{Life: life, Limit: of(2), Age: time.Minute}}, "z")).To(BeFalse(), "a word that was long on its way")
-		Expect(b.TellLimits([]HeardLimit{{Life: fleet.Life{ID: "s", Born: 8}, Limit: of(2)}}, "z")).To(BeTrue())
-		Expect(b.TellLimits([]HeardLimit{{Life: fleet.Life{ID: "s", Born: 9}, Limit: of(3), Age: time.Minute}}, "z")).To(BeTrue(), "a later life")
+		Expect(b.TellLimits([]HeardLimit{{Life: fleet.Incarnation{ID: "s", Born: 8}, Limit: of(2)}}, "z")).To(BeTrue())
+		Expect(b.TellLimits([]HeardLimit{{Life: fleet.Incarnation{ID: "s", Born: 9}, Limit: of(3), Age: time.Minute}}, "z")).To(BeTrue(), "a later life")
 	})
 }
 
@@ -113,11 +113,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
 		b := newBoard()
-		b.TellLimits([]HeardLimit{{Life: fleet.Life{ID: "other"}, Limit: of(4)}}, "x")
+		b.TellLimits([]HeardLimit{{Life: fleet.Incarnation{ID: "other"}, Limit: of(4)}}, "x")
 		b.says(of(2), request())
 		Expect(b.News()).To(Receive())
 		own, version := b.OwnLimits(0)
-		Expect(own).To(Equal([]HeardLimit{{Life: b.server.Life(), Limit: of(2)}}))
+		Expect(own).To(Equal([]HeardLimit{{Life: b.server.Incarnation(), Limit: of(2)}}))
 		time.Sleep(time.Second)
 		b.says(of(2), request())
 		Expect(b.News()).NotTo(Receive())
@@ -138,7 +138,7 @@
 		RegisterTestingT(t)
 		b := newBoard()
 		b.TellLimits([]HeardLimit{
-			{Life: fleet.Life{ID: "gone"}, Limit: of(1)}, {Life: b.server.Life(), Limit: of(1)}, {Life: fleet.Life{ID: "over"}},
+			{Life: fleet.Incarnation{ID: "gone"}, Limit: of(1)}, {Life: b.server.Incarnation(), Limit: of(1)}, {Life: fleet.Incarnation{ID: "over"}},
 		}, "x")
 		for _, step := range []struct {
 			after time.Duration
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -122,7 +122,7 @@
 
 // backoff is until when a life of a server wants nothing.
 type backoff struct {
-	life  fleet.Life
+	life  fleet.Incarnation
 	until time.Time
 }
 
@@ -147,10 +147,10 @@
 		return
 	}
 	if heard.Leaving {
-		b.config.View.SetLeaving(server.Life())
+		b.config.View.SetLeaving(server.Incarnation())
 	}
 	if heard.RetryAfter > 0 {
-		b.backOff(server.Life(), time.Now().Add(heard.RetryAfter))
+		b.backOff(server.Incarnation(), time.Now().Add(heard.RetryAfter))
 	}
 	for _, kind := range heard.kinds() {
 		b.config.Counted(kind)
@@ -164,7 +164,7 @@
 
 // backOff notes until when a server wants nothing. The longest time counts: the answer that
 // asks for a shorter one may be the older. What an earlier life asked for is over.
-func (b *Board) backOff(life fleet.Life, until time.Time) {
+func (b *Board) backOff(life fleet.Incarnation, until time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	known := b.backoffs[life.ID]
@@ -182,7 +182,7 @@
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
 	known, asked := b.backoffs[server.ID]
-	if !asked || server.Life().Follows(known.life) {
+	if !asked || server.Incarnation().Follows(known.life) {
 		return time.Time{}
 	}
 	return known.until
@@ -193,7 +193,7 @@
 func (b *Board) Sending(server *fleet.Server, purpose Purpose) {
 	b.tellLimited(server, purpose)
 	listed := b.config.View.Load().Servers[server.ID]
-	leaving, left := listed != nil && listed.ToldLeaving, time.Until(b.BackoffUntil(server))
+	leaving, left := listed != nil && listed.ReportedLeaving, time.Until(b.BackoffUntil(server))
 	if leaving {
 		b.config.Despite(KindLeaving)
 	}
--- a/internal/notice/notice_test.go
+++ b/internal/notice/notice_test.go
@@ -42,7 +42,7 @@
 		now, latest := time.Now(), time.Time{}
 		for range rapid.IntRange(1, 20).Draw(t, "words") {
 			until := now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond)
-			b.backOff(b.server.Life(), until)
+			b.backOff(b.server.Incarnation(), until)
 			if until.After(latest) {
 				latest = until
 			}
@@ -87,14 +87,14 @@
 	b := newBoard()
 	until := time.Now().Add(time.Hour)
 	first, second := &fleet.Server{ID: "s", Born: 5}, &fleet.Server{ID: "s", Born: 6}
-	b.backOff(first.Life(), until)
+	b.backOff(first.Incarnation(), until)
 	Expect(b.BackoffUntil(first)).To(Equal(until))
 	Expect(b.BackoffUntil(second)).To(BeZero())
 	// A record that was passed on without its birth.
 	Expect(b.BackoffUntil(b.server)).To(Equal(until))
-	b.backOff(second.Life(), until.Add(-time.Minute))
+	b.backOff(second.Incarnation(), until.Add(-time.Minute))
 	Expect(b.BackoffUntil(second)).To(Equal(until.Add(-time.Minute)))
 	// A late answer of the first life.
-	b.backOff(first.Life(), until.Add(time.Hour))
+	b.backOff(first.Incarnation(), until.Add(time.Hour))
 	Expect(b.BackoffUntil(second)).To(Equal(until.Add(-time.Minute)))
 }
--- a/internal/orders/engines.go
+++ b/internal/orders/engines.go
@@ -50,7 +50,7 @@
 	Sequence int64
 	// Busy: an order is under way.
 	Busy             bool
-	Models           map[string]fleet.Held
+	Models           map[string]fleet.LoadedModel
 	InMemory, OnDisk map[string]bool
 }
 
--- a/internal/orders/holder.go
+++ b/internal/orders/holder.go
@@ -186,7 +186,7 @@
 // plan must be called with the lock held.
 func (h *Holder) plan(ctx context.Context, term *Term, pool string, engine *fleet.Engine, now time.Time) {
 	underWay := h.ledger.storeLoads(now)
-	h.ceiling.expect(engine.LongestLoad())
+	h.ceiling.expect(engine.MaxLoadTime())
 	demand := h.demand.ofPool(pool, now)
 	sample := h.ledger.sample(pool, demand, now)
 	input := placement.Input{
@@ -232,7 +232,7 @@
 	case placement.LoadAdapter:
 		model := engine.Models[action.Model]
 		_, holds := target.models[action.Model]
-		return holds && model != nil && target.adapterCount() < engine.AdapterPlaces &&
+		return holds && model != nil && target.adapterCount() < engine.AdapterSlots &&
 			target.usedMB(engine)+model.AdapterMB <= engine.MemoryMB
 	}
 	return true
--- a/internal/orders/ledger.go
+++ b/internal/orders/ledger.go
@@ -189,8 +189,8 @@
 
 // sameModels: the record shows just what the server holds, so that nodes need not
 // be told.
-func sameModels(models, record map[string]fleet.Held) bool {
-	return maps.EqualFunc(models, record, func(held, recorded fleet.Held) bool {
+func sameModels(models, record map[string]fleet.LoadedModel) bool {
+	return maps.EqualFunc(models, record, func(held, recorded fleet.LoadedModel) bool {
 		return maps.Equal(held.Adapters, recorded.Adapters)
 	})
 }
@@ -211,7 +211,7 @@
 func (e *entry) state(id string) ServerState {
 	models := make(map[string][]string, len(e.models))
 	for name, held := range e.models {
-		models[name] = fleet.Held{Adapters: held.adapters}.AdapterNames()
+		models[name] = fleet.LoadedModel{Adapters: held.adapters}.AdapterNames()
 	}
 	return ServerState{ID: id, Models: models, Version: e.version, Created: e.server.Created}
 }
@@ -272,7 +272,7 @@
 		used += sizeOf(engine, e.loading, 0)
 	}
 	if e.unloading != "" {
-		used += sizeOf(engine, e.unloading, engine.AdapterPlaces)
+		used += sizeOf(engine, e.unloading, engine.AdapterSlots)
 	}
 	return used
 }
@@ -283,7 +283,7 @@
 	if model == nil {
 		return engine.MemoryMB
 	}
-	return model.HeldMB(adapters)
+	return model.FootprintMB(adapters)
 }
 
 func (e *entry) adapterCount() int {
--- a/internal/orders/link.go
+++ b/internal/orders/link.go
@@ -228,7 +228,7 @@
 		return
 	}
 	if update.Token > l.token {
-		l.config.View.ForgetPlaced()
+		l.config.View.ClearPlacements()
 		l.token, l.version = update.Token, 0
 		l.limitsTold, l.limitsKnown = 0, 0
 		clear(l.coming)
@@ -250,7 +250,7 @@
 		l.limitsKnown = max(l.limitsKnown, update.LimitsVersion)
 	}
 	if len(update.Servers) > 0 {
-		l.config.View.Place(placed(update.Servers, now))
+		l.config.View.ApplyPlacements(placed(update.Servers, now))
 	}
 	if update.Nodes > 0 {
 		l.config.SetNodes(update.Nodes)
@@ -264,10 +264,10 @@
 	servers := make([]*fleet.Server, len(states))
 	for i, state := range states {
 		server := &fleet.Server{
-			ID: state.ID, Models: map[string]fleet.Held{}, PlacedVersion: state.Version, Created: state.Created, SeenAt: now,
+			ID: state.ID, Models: map[string]fleet.LoadedModel{}, PlacementVersion: state.Version, Created: state.Created, SeenAt: now,
 		}
 		for name, adapters := range state.Models {
-			server.Models[name] = fleet.NewHeld(adapters)
+			server.Models[name] = fleet.NewLoadedModel(adapters)
 		}
 		servers[i] = server
 	}
@@ -284,7 +284,7 @@
 	l.heardAt = time.Time{}
 	l.version = 0
 	clear(l.coming)
-	l.config.View.ForgetPlaced()
+	l.config.View.ClearPlacements()
 	l.config.Logger.Warn().Int64("token", l.token).Msg("holder not heard; servers' records count again")
 }
 
--- a/internal/orders/messages.go
+++ b/internal/orders/messages.go
@@ -38,7 +38,7 @@
 	Rows     []DemandRow
 	// Leaving are the servers that told the node in answers that they leave: they need
 	// replacing, and their records may say so much later.
-	Leaving []fleet.Life
+	Leaving []fleet.Incarnation
 	// Token and Version of the placement that the node knows.
 	Token   int64
 	Version uint64
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -176,7 +176,7 @@
 })
 
 var _ = ginkgo.Describe("an action", func() {
-	engine := &fleet.Engine{MemoryMB: 200, AdapterPlaces: 1, Models: map[string]*fleet.Model{
+	engine := &fleet.Engine{MemoryMB: 200, AdapterSlots: 1, Models: map[string]*fleet.Model{
 		"a": {Name: "a", SizeMB: 70, AdapterMB: 1}, "b": {Name: "b", SizeMB: 70}, "c": {Name: "c", SizeMB: 70},
 	}}
 	holding := func(names ...string) *entry {
--- a/internal/orders/scale_test.go
+++ b/internal/orders/scale_test.go
@@ -45,7 +45,7 @@
 // largeSnapshot has 300 models, each at 33 servers of 10,000.
 func largeSnapshot(servers int) *fleet.Snapshot {
 	view := fleet.NewView()
-	engine := &fleet.Engine{Slots: 64, MemoryMB: 200_000, AdapterPlaces: 8, LoadsPerSecond: 2800, Models: map[string]*fleet.Model{}}
+	engine := &fleet.Engine{Slots: 64, MemoryMB: 200_000, AdapterSlots: 8, LoadsPerSecond: 2800, Models: map[string]*fleet.Model{}}
 	for i := range 300 {
 		name := fmt.Sprint("m", i)
 		engine.Models[name] = &fleet.Model{Name: name, SizeMB: 70_000, AdapterMB: 66, LoadTime: 6 * time.Second}
@@ -55,7 +55,7 @@
 	records := map[string]*fleet.Server{}
 	for i := range servers {
 		id := fmt.Sprintf("s%05d", i)
-		records[id] = &fleet.Server{ID: id, Pool: "p", Zone: fmt.Sprint("z", i%6), Created: 1, Models: map[string]fleet.Held{fmt.Sprint("m", i%300): {}}}
+		records[id] = &fleet.Server{ID: id, Pool: "p", Zone: fmt.Sprint("z", i%6), Created: 1, Models: map[string]fleet.LoadedModel{fmt.Sprint("m", i%300): {}}}
 	}
 	view.ReplaceServers(records)
 	return view.Load()
--- a/internal/orders/term_test.go
+++ b/internal/orders/term_test.go
@@ -95,7 +95,7 @@
 	}
 	book := newLedger()
 	book.sync(snapshot(5), time.Now())
-	book.reported(book.entries["s"], Report{Models: map[string]fleet.Held{"m": {}}}, time.Now())
+	book.reported(book.entries["s"], Report{Models: map[string]fleet.LoadedModel{"m": {}}}, time.Now())
 	told := book.version
 	book.sync(snapshot(5), time.Now())
 	Expect(book.states(told)).To(BeEmpty())
@@ -107,16 +107,16 @@
 // An order that was carried out late shows in the server's record.
 func TestRecordThatShowsOtherModelsMakesAnEntryStale(t *testing.T) {
 	reported := time.Now()
-	held := func(names ...string) map[string]fleet.Held {
-		models := map[string]fleet.Held{}
+	held := func(names ...string) map[string]fleet.LoadedModel {
+		models := map[string]fleet.LoadedModel{}
 		for _, name := range names {
-			models[name] = fleet.Held{}
+			models[name] = fleet.LoadedModel{}
 		}
 		return models
 	}
 	cases := map[string]struct {
 		known  bool
-		record map[string]fleet.Held
+		record map[string]fleet.LoadedModel
 		seen   time.Duration
 		stale  bool
 	}{
--- a/internal/placement/adapters.go
+++ b/internal/placement/adapters.go
@@ -64,7 +64,7 @@
 		return
 	}
 	p.taken[best.ID] = true
-	if p.adapterCount(best) < p.Engine.AdapterPlaces && p.free(best) >= p.Engine.Models[w.model].AdapterMB {
+	if p.adapterCount(best) < p.Engine.AdapterSlots && p.free(best) >= p.Engine.Models[w.model].AdapterMB {
 		p.actions = append(p.actions, Action{Kind: LoadAdapter, Server: best.ID, Model: w.model, Adapter: w.adapter, Reason: "asked for"})
 		return
 	}
--- a/internal/placement/ahead_test.go
+++ b/internal/placement/ahead_test.go
@@ -16,7 +16,7 @@
 func aheadInput(servers, held, models int) *placement.Input {
 	in := &placement.Input{
 		Now: now, LoadAhead: true, StoreLoads: 4, Demand: map[string]*placement.Demand{},
-		Engine: &fleet.Engine{Slots: 64, MemoryMB: 200_000, AdapterPlaces: 8, LoadsPerSecond: 4, Models: map[string]*fleet.Model{}},
+		Engine: &fleet.Engine{Slots: 64, MemoryMB: 200_000, AdapterSlots: 8, LoadsPerSecond: 4, Models: map[string]*fleet.Model{}},
 	}
 	for i := range models {
 		name := fmt.Sprintf("m%02d", i)
--- a/internal/placement/benchmark_test.go
+++ b/internal/placement/benchmark_test.go
@@ -14,7 +14,7 @@
 func busyInput(servers, models int) *placement.Input {
 	in := &placement.Input{
 		Now: now, StoreLoads: 4, Demand: map[string]*placement.Demand{},
-		Engine: &fleet.Engine{Slots: 64, MemoryMB: 220_000, AdapterPlaces: 8, LoadsPerSecond: 4, Models: map[string]*fleet.Model{}},
+		Engine: &fleet.Engine{Slots: 64, MemoryMB: 220_000, AdapterSlots: 8, LoadsPerSecond: 4, Models: map[string]*fleet.Model{}},
 	}
 	for i := range models {
 		name := fmt.Sprintf("m%d", i)
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -22,7 +22,7 @@
 
 // testEngine has six models of 70 GB for servers of 200 GB.
 func testEngine() *fleet.Engine {
-	engine := &fleet.Engine{Slots: 64, MemoryMB: 200_000, AdapterPlaces: 2, LoadsPerSecond: 4, Models: map[string]*fleet.Model{}}
+	engine := &fleet.Engine{Slots: 64, MemoryMB: 200_000, AdapterSlots: 2, LoadsPerSecond: 4, Models: map[string]*fleet.Model{}}
 	for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
 		engine.Models[name] = &fleet.Model{
 			Name: name, SizeMB: 70_000, LoadTime: 2 * time.Second, WarmTime: 500 * time.Millisecond,
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -151,7 +151,7 @@
 			inUse++
 		}
 	}
-	places := adapterPlaceShare * float64(p.Engine.AdapterPlaces)
+	places := adapterPlaceShare * float64(p.Engine.AdapterSlots)
 	if places < 1 || inUse == 0 {
 		return 0
 	}
@@ -363,7 +363,7 @@
 		if model == nil {
 			return 0
 		}
-		used += model.HeldMB(len(replica.Adapters))
+		used += model.FootprintMB(len(replica.Adapters))
 	}
 	if loading := p.Engine.Models[server.Loading]; loading != nil {
 		used += loading.SizeMB
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -173,7 +173,7 @@
 		return victim{}, false
 	}
 	found := victim{
-		model: name, size: model.HeldMB(len(replica.Adapters)), wait: max(residency-p.Now.Sub(replica.Since), 0),
+		model: name, size: model.FootprintMB(len(replica.Adapters)), wait: max(residency-p.Now.Sub(replica.Since), 0),
 	}
 	demand := p.Demand[name]
 	if demand == nil {
--- a/internal/poison/fakes_test.go
+++ b/internal/poison/fakes_test.go
@@ -182,7 +182,7 @@
 			}
 			return w.network.Living()
 		},
-		Transport: w.network.Add(address), Address: address, Store: w.store, EntriesPrefix: "entries/", EndsPrefix: "ends/", Logger: zerolog.Nop(),
+		Transport: w.network.Add(address), Address: address, Store: w.store, EntriesPrefix: "entries/", CrashesPrefix: "ends/", Logger: zerolog.Nop(),
 	})
 	n.guard.Replace(w.store.all())
 	w.store.watch(n, true)
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -53,10 +53,10 @@
 	Address string
 	// Store keeps entries for nodes that start, or were not reached, and ends that not
 	// all collectors heard of. The prefixes begin their keys.
-	Store                     outside.KeyValueService
-	EntriesPrefix, EndsPrefix string
-	// Counted is called with each server that ended under requests; nil: not called.
-	Counted func()
+	Store                        outside.KeyValueService
+	EntriesPrefix, CrashesPrefix string
+	// OnCrash is called with each server that ended under requests; nil: not called.
+	OnCrash func()
 	Logger  zerolog.Logger
 }
 
@@ -97,8 +97,8 @@
 
 // NewGuard returns a guard and registers its messages with the transport.
 func NewGuard(config Config) *Guard {
-	if config.Counted == nil {
-		config.Counted = func() {}
+	if config.OnCrash == nil {
+		config.OnCrash = func() {}
 	}
 	g := &Guard{
 		config: config, suspects: newSuspects(), served: newServed(), ledger: NewLedger(), quarantine: NewQuarantine(),
@@ -210,7 +210,7 @@
 	if len(suspects) == 0 {
 		return
 	}
-	g.config.Counted()
+	g.config.OnCrash()
 	identities := identitiesOf(suspects)
 	g.config.Logger.Warn().Str("server", server).Str("proof", proof).Int("requests", len(identities)).
 		Strs("identities", logged(identities)).Msg("server ended under requests")
--- a/internal/poison/shared_ends.go
+++ b/internal/poison/shared_ends.go
@@ -37,7 +37,7 @@
 	return &sharedEnds{guard: guard, ends: map[string]timedEnd{}}
 }
 
-func (s *sharedEnds) key() string { return s.guard.config.EndsPrefix + s.guard.config.Address }
+func (s *sharedEnds) key() string { return s.guard.config.CrashesPrefix + s.guard.config.Address }
 
 // add shares ends by way of the store.
 func (s *sharedEnds) add(ends []timedEnd, now time.Time) {
@@ -133,7 +133,7 @@
 
 // take counts the ends of another node's key.
 func (s *sharedEnds) take(keyValue outside.KeyValue) {
-	address, is := strings.CutPrefix(keyValue.Key, s.guard.config.EndsPrefix)
+	address, is := strings.CutPrefix(keyValue.Key, s.guard.config.CrashesPrefix)
 	if !is {
 		return
 	}
--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -147,7 +147,7 @@
 switch_off lapse-without-relay internal/mirror/lapse.go 'if m.lost && !m.through {' 'if m.lost {' ./internal/mirror
 switch_off lapse-ends internal/mirror/lapse.go 'time.AfterFunc(end.Sub(now), m.dropLapsed)' '' ./internal/mirror
 switch_off pause-after-failure internal/mirror/reading.go 'min(max(2*m.failedPause, failedPause), longest)' 'min(failedPause, longest)' ./internal/mirror
-switch_off latest-word internal/fleet/view.go 'before.PlacedVersion > state.PlacedVersion' 'false' ./internal/fleet
+switch_off latest-word internal/fleet/view.go 'before.PlacementVersion > state.PlacementVersion' 'false' ./internal/fleet
 switch_off word-of-earlier-record internal/fleet/view.go 'if placed.Created < oldest {' 'if oldest < 0 {' ./internal/fleet
 # Choice and admission.
 switch_off pause-of-unreached internal/forward/choose.go 'return !now.Before(load.backoffUntil)' 'return true' $forward
@@ -236,7 +236,7 @@
 switch_off past-holds internal/poison/ledger.go '(before || t.all > endsToHold)' '(t.all > endsToHold)' $poison
 # What servers tell in their answers.
 switch_off word-of-leaving platform/notices.go 'Leaving: answer.Header.Get(headerLeaving) == leavingYes' 'Leaving: false' ./platform
-switch_off leaving-beside-records internal/fleet/view.go 'if len(v.leaving) == 0 || !v.leaving.has(server.Life()) {' 'if true {' ./internal/fleet
+switch_off leaving-beside-records internal/fleet/view.go 'if len(v.leaving) == 0 || !v.leaving.has(server.Incarnation()) {' 'if true {' ./internal/fleet
 switch_off leaving-by-life internal/fleet/leaving.go 'case later(record.Born, known.born):' 'case false:' ./internal/fleet
 switch_off leaving-told-to-holder internal/orders/link.go 'Leaving: l.config.View.Leaving(),' '' ./platform
 switch_off backoff-of-requests internal/forward/choose.go 'if fits && backoff <= 0 {' 'if fits {' $forward
@@ -256,7 +256,7 @@
 switch_off era-of-subscribers internal/mirror/relay.go '&& !behind' '' ./internal/mirror
 switch_off rereads-bounded internal/mirror/restore.go 'if now.Sub(m.rereadAt) < rereadPause {' 'if false {' ./internal/mirror
 switch_off newer-configuration-stays internal/mirror/apply.go 'changes = m.keepNewer(changes)' '' $restores
-switch_off draining-stays internal/mirror/restore.go 'm.config.View.SetLeaving(before.Life())' '_ = before' $restores
+switch_off draining-stays internal/mirror/restore.go 'm.config.View.SetLeaving(before.Incarnation())' '_ = before' $restores
 switch_off ended-stay internal/mirror/restore.go 'ended && !lapsed' 'ended && !lapsed && false' $restores
 switch_off copies-after-restore internal/mirror/restore.go 'm.copyEntry, m.copyRevision = copyEntry{}, 0' '' ./internal/mirror
 switch_off era-asked-at-once internal/mirror/reading.go 'return shortestWait, 0' '' $restores
