--- a/internal/poison/ambiguity.go
+++ b/internal/poison/ambiguity.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// likeliest returns the identity whose time from its start to the end of its server varies
-// least: what ends a server does so after its own time, while others were begun at any time
-// before.
-func (l *Ledger) likeliest(identities []Identity) Identity {
+// likeliestCause returns the identity whose running time until the crash varies least between
+// crashes: a poison request crashes a server a fixed time after its own start, while unrelated
+// requests had started at arbitrary times before.
+func (l *CrashLog) likeliestCause(identities []Identity) Identity {
 	return slices.MinFunc(identities, func(a, b Identity) int {
-		return cmp.Or(cmp.Compare(l.spread(a), l.spread(b)), a.compare(b))
+		return cmp.Or(cmp.Compare(l.elapsedRange(a), l.elapsedRange(b)), a.compare(b))
 	})
 }
 
-// spread is the difference between the longest and the shortest time that the identity had
-// run at the ends; the longest time there is if one of them is not known.
-func (l *Ledger) spread(identity Identity) time.Duration {
+// elapsedRange is the difference between the longest and the shortest running time of the
+// identity at its crashes, or the maximum duration if one of them is unknown.
+func (l *CrashLog) elapsedRange(identity Identity) time.Duration {
 	shortest, longest := time.Duration(math.MaxInt64), time.Duration(0)
-	for _, end := range l.ends {
-		elapsed, suspected := end.suspects[identity]
+	for _, crash := range l.crashes {
+		elapsed, suspected := crash.suspects[identity]
 		if !suspected {
 			continue
 		}
@@ -33,12 +33,13 @@
 	return longest - shortest
 }
 
-// rivals returns those of the others that were at all unexplained ends of an identity.
-func (l *Ledger) rivals(identity Identity, others []Identity, held func(Identity) bool) []Identity {
-	explained := func(end *ledgerEnd) bool { return end.explained(held) }
+// rivals returns, in order, the other identities that were running at every unexplained crash
+// of an identity.
+func (l *CrashLog) rivals(identity Identity, others []Identity, isQuarantined func(Identity) bool) []Identity {
+	explained := func(crash *crashRecord) bool { return crash.explained(isQuarantined) }
 	var found []Identity
 	for _, other := range others {
-		if other != identity && l.atAllEndsOf(other, identity, explained) {
+		if other != identity && l.presentAtAllCrashesOf(other, identity, explained) {
 			found = append(found, other)
 		}
 	}
@@ -46,39 +47,41 @@
 	return found
 }
 
-// explained returns the held identities that have fewer than endsToHold ends left of their
-// own: at the others, one was under way that is held as well and has more ends. Those of which
-// ends have been forgotten are left out.
-func (l *Ledger) explained(held, heldNow func(Identity) bool) []Identity {
-	counts := l.count(held)
+// toRelease returns the quarantined identities that are left with fewer than crashThreshold
+// crashes of their own: the other crashes are explained by another quarantined identity that
+// was running there and has more crashes. Identities some of whose crashes have expired from
+// the log are left out, since their count is incomplete.
+func (l *CrashLog) toRelease(wasQuarantined, isQuarantined func(Identity) bool) []Identity {
+	counts := l.count(wasQuarantined)
 	own := map[Identity]int{}
-	for _, end := range l.ends {
-		most := 0
-		for identity := range end.suspects {
-			if heldNow(identity) {
-				most = max(most, counts[identity].all)
+	for _, crash := range l.crashes {
+		maxCount := 0
+		for identity := range crash.suspects {
+			if isQuarantined(identity) {
+				maxCount = max(maxCount, counts[identity].all)
 			}
 		}
-		for identity := range end.suspects {
-			if counts[identity].all >= most {
+		for identity := range crash.suspects {
+			if counts[identity].all >= maxCount {
 				own[identity]++
 			}
 		}
 	}
-	var explained []Identity
-	for identity, ends := range counts {
-		if held(identity) && ends.all >= endsToHold && own[identity] < endsToHold {
-			explained = append(explained, identity)
+	var found []Identity
+	for identity, count := range counts {
+		if wasQuarantined(identity) && count.all >= crashThreshold && own[identity] < crashThreshold {
+			found = append(found, identity)
 		}
 	}
-	slices.SortFunc(explained, Identity.compare)
-	return explained
+	slices.SortFunc(found, Identity.compare)
+	return found
 }
 
-// atAllEndsOf reports whether one identity was at all ends of another but the excepted.
-func (l *Ledger) atAllEndsOf(one, another Identity, excepted func(*ledgerEnd) bool) bool {
-	for _, end := range l.ends {
-		if end.has(another) && !excepted(end) && !end.has(one) {
+// presentAtAllCrashesOf reports whether one identity was running at all crashes of another,
+// apart from the excepted ones.
+func (l *CrashLog) presentAtAllCrashesOf(one, another Identity, excepted func(*crashRecord) bool) bool {
+	for _, crash := range l.crashes {
+		if crash.hasSuspect(another) && !excepted(crash) && !crash.hasSuspect(one) {
 			return false
 		}
 	}
--- a/internal/poison/fakes_test.go
+++ b/internal/poison/fakes_test.go
@@ -22,29 +22,29 @@
 )
 
 const (
-	// contact is the time after which a node that reaches the store must know.
-	contact = 3 * time.Second
-	// storeDelay of a call, and of a change on its way to the nodes.
+	// propagationLimit is the time after which each node that reaches the store must refuse.
+	propagationLimit = 3 * time.Second
+	// storeDelay is the latency of a call, and that of a change on its way to the nodes.
 	storeDelay = 4 * time.Millisecond
 )
 
-// fakeStore keeps keys, and tells the nodes that reach it of changes.
+// fakeStore keeps keys, and sends changes to the nodes that reach it.
 type fakeStore struct {
 	outside.KeyValueService
 	mutex    sync.Mutex
 	revision int64
 	keys     map[string]outside.KeyValue
-	// away: the store answers nobody.
-	away     bool
-	watchers map[*node]bool
+	// unavailable: the store answers no node.
+	unavailable bool
+	watchers    map[*node]bool
 }
 
-// Transact writes if all compares hold.
+// Transact writes if all compares succeed.
 func (s *fakeStore) Transact(transaction outside.Transaction, timeout time.Duration, done func(outside.TransactionResult, error)) {
 	s.mutex.Lock()
-	away := s.away
+	unavailable := s.unavailable
 	s.mutex.Unlock()
-	if away {
+	if unavailable {
 		time.AfterFunc(timeout, func() { done(outside.TransactionResult{}, outside.ErrAmbiguous) })
 		return
 	}
@@ -81,7 +81,7 @@
 	return outside.TransactionResult{Succeeded: true, Revision: s.revision}
 }
 
-// restore brings back the keys of a backup, in another era, and tells the nodes.
+// restore replaces the keys by those of a backup, in another era, and notifies the nodes.
 func (s *fakeStore) restore(backup []outside.KeyValue) {
 	s.mutex.Lock()
 	era := outside.EraOf(s.revision) + 1
@@ -134,100 +134,101 @@
 	stop    func()
 }
 
-// world is a fleet of nodes, with a store and the servers' addresses.
-type world struct {
+// cluster consists of nodes, a store and the servers' addresses.
+type cluster struct {
 	network *peers.Network
 	store   *fakeStore
 	nodes   []*node
-	// collectors gather reports; holder is the one that tells followers.
+	// collectors collect reports; holder holds the lease for orders and sends to followers.
 	collectors []string
 	holder     string
 
 	mutex sync.Mutex
 	// refusing addresses have no listener any more.
 	refusing map[string]bool
-	// silent addresses take no connection and refuse none.
-	silent map[string]bool
-	// looks counts connections to servers for a look.
-	looks int
+	// unresponsive addresses neither accept nor refuse connections.
+	unresponsive map[string]bool
+	// probes counts probe connections to servers.
+	probes int
 }
 
-// newWorld starts nodes of which the first ones collector, and the last one holds orders.
-func newWorld(nodes, collectors int) *world {
-	w := &world{
+// newCluster starts nodes, of which the first ones are collectors and the last one holds the
+// lease for orders.
+func newCluster(nodes, collectors int) *cluster {
+	c := &cluster{
 		network: peers.NewNetwork(), store: &fakeStore{keys: map[string]outside.KeyValue{}, watchers: map[*node]bool{}},
-		refusing: map[string]bool{}, silent: map[string]bool{},
+		refusing: map[string]bool{}, unresponsive: map[string]bool{},
 	}
 	for i := range nodes {
 		address := fmt.Sprintf("node-%02d", i)
 		if i < collectors {
-			w.collectors = append(w.collectors, address)
+			c.collectors = append(c.collectors, address)
 		}
-		w.holder = address
+		c.holder = address
 	}
 	for i := range nodes {
-		w.nodes = append(w.nodes, w.start(fmt.Sprintf("node-%02d", i)))
+		c.nodes = append(c.nodes, c.start(fmt.Sprintf("node-%02d", i)))
 	}
-	return w
+	return c
 }
 
 // start starts a node, which reads the store first if it is there.
-func (w *world) start(address string) *node {
+func (c *cluster) start(address string) *node {
 	n := &node{address: address, view: fleet.NewView()}
 	n.guard = NewGuard(Config{
-		View: n.view, Connect: w.connect, Collectors: w.knownCollectors,
+		View: n.view, Connect: c.connect, Collectors: c.knownCollectors,
 		Followers: func() []string {
-			if address != w.holder {
+			if address != c.holder {
 				return nil
 			}
-			return w.network.Living()
+			return c.network.Living()
 		},
-		Transport: w.network.Add(address), Address: address, Store: w.store, EntriesPrefix: "entries/", CrashesPrefix: "ends/", Logger: zerolog.Nop(),
+		Transport: c.network.Add(address), Address: address, Store: c.store, EntriesPrefix: "entries/", CrashesPrefix: "ends/", Logger: zerolog.Nop(),
 	})
-	n.guard.Replace(w.store.all())
-	w.store.watch(n, true)
+	n.guard.Replace(c.store.all())
+	c.store.watch(n, true)
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stop = cancel
 	go n.guard.Run(ctx)
 	return n
 }
 
-// knownCollectors are the nodes that collect, and the holder if there is one.
-func (w *world) knownCollectors() []string {
-	if w.holder == "" {
-		return w.collectors
+// knownCollectors are the collectors, and the holder if there is one.
+func (c *cluster) knownCollectors() []string {
+	if c.holder == "" {
+		return c.collectors
 	}
-	return append(slices.Clone(w.collectors), w.holder)
+	return append(slices.Clone(c.collectors), c.holder)
 }
 
-// connect plays a connection to a server.
-func (w *world) connect(_ context.Context, address string) error {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.looks++
+// connect simulates a connection to a server.
+func (c *cluster) connect(_ context.Context, address string) error {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.probes++
 	switch {
-	case w.refusing[address]:
+	case c.refusing[address]:
 		return syscall.ECONNREFUSED
-	case w.silent[address]:
+	case c.unresponsive[address]:
 		return os.ErrDeadlineExceeded
 	}
 	return nil
 }
 
-// server lists a server at all nodes.
-func (w *world) server(id string) *fleet.Server {
+// server registers a server at all nodes.
+func (c *cluster) server(id string) *fleet.Server {
 	server := &fleet.Server{ID: id, Address: id + ":1", Pool: "p", Slots: 64}
-	for _, n := range w.nodes {
+	for _, n := range c.nodes {
 		n.view.UpdateServers(map[string]*fleet.Server{id: server})
 	}
 	return server
 }
 
-// end ends a server under the requests that nodes had there.
-func (w *world) end(server *fleet.Server, under map[*node][]Identity) {
-	w.mutex.Lock()
-	w.refusing[server.Address] = true
-	w.mutex.Unlock()
+// crash crashes a server under the requests that nodes have there.
+func (c *cluster) crash(server *fleet.Server, under map[*node][]Identity) {
+	c.mutex.Lock()
+	c.refusing[server.Address] = true
+	c.mutex.Unlock()
 	for n, identities := range under {
 		for _, identity := range identities {
 			n.guard.Broke(context.Background(), identity, server, time.Now())
@@ -235,25 +236,25 @@
 	}
 }
 
-// held counts the nodes that refuse the identity.
-func (w *world) held(identity Identity) int {
+// refusedBy counts the nodes that refuse the identity.
+func (c *cluster) refusedBy(identity Identity) int {
 	count := 0
-	for _, n := range w.nodes {
-		if _, held := n.guard.Held(identity); held {
+	for _, n := range c.nodes {
+		if _, refused := n.guard.Held(identity); refused {
 			count++
 		}
 	}
 	return count
 }
 
-// looked counts the connections to servers for a look.
-func (w *world) looked() int {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.looks
+// probeCount returns the number of probe connections to servers.
+func (c *cluster) probeCount() int {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.probes
 }
 
-// numbered returns identities that differ.
+// numbered returns distinct identities.
 func numbered(from, to int) []Identity {
 	var all []Identity
 	for number := from; number < to; number++ {
@@ -262,32 +263,32 @@
 	return all
 }
 
-// inWorld runs the body in virtual time.
-func inWorld(t *testing.T, nodes, collectors int, body func(w *world)) {
+// runInCluster runs the body in virtual time.
+func runInCluster(t *testing.T, nodes, collectors int, body func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
-		w := newWorld(nodes, collectors)
+		c := newCluster(nodes, collectors)
 		defer func() {
-			for _, n := range w.nodes {
+			for _, n := range c.nodes {
 				n.stop()
 			}
-			// What is under way ends.
+			// Lets pending timers and calls finish.
 			time.Sleep(time.Minute)
 		}()
-		body(w)
+		body(c)
 	})
 }
 
-// sharedEndsOf counts the ends in the store that name the identity.
-func (s *fakeStore) sharedEndsOf(identity Identity) int {
+// sharedCrashesOf counts the crashes in the store with the identity among their suspects.
+func (s *fakeStore) sharedCrashesOf(identity Identity) int {
 	count := 0
 	for _, keyValue := range s.all() {
-		var saved savedEnds
+		var saved savedCrashes
 		if !strings.HasPrefix(keyValue.Key, "ends/") || json.Unmarshal(keyValue.Value, &saved) != nil {
 			continue
 		}
-		for _, end := range saved.Ends {
-			if slices.Contains(end.Suspects, identity) {
+		for _, crash := range saved.Crashes {
+			if slices.Contains(crash.Suspects, identity) {
 				count++
 			}
 		}
@@ -295,7 +296,7 @@
 	return count
 }
 
-// removeAll removes all keys, as an operator does.
+// removeAll deletes the keys of all entries, as an operator does.
 func (s *fakeStore) removeAll() {
 	for _, keyValue := range s.entries() {
 		s.apply(outside.Transaction{Operations: []outside.Operation{{Kind: outside.OperationDelete, Key: keyValue.Key}}})
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -15,95 +15,97 @@
 )
 
 const (
-	// firstLook and secondLook are the times after a broken attempt at which its server
-	// is looked at: an ended one refuses connections at once, or, where its sockets are
-	// closed one by one, soon.
-	firstLook, secondLook = 20 * time.Millisecond, 300 * time.Millisecond
-	// reportPause gathers what was under way at servers that end together.
-	reportPause = 10 * time.Millisecond
-	// settlePause between a report and the decision, in which the other nodes that had
-	// requests at the server report as well.
-	settlePause = 150 * time.Millisecond
-	// tickPeriod between looks at what is open: reports without an answer, records of
-	// servers, holds that are over, the store.
-	tickPeriod = 500 * time.Millisecond
-	// reportTimeout of a report, which is sent again for reportMemory. After shareAfter
-	// without an answer it goes by way of the store as well: two tries, so that one lost
-	// message costs no call to the store.
-	reportTimeout = 400 * time.Millisecond
-	shareAfter    = 900 * time.Millisecond
-	reportMemory  = 15 * time.Second
-	// loggedIdentities of a server's end.
-	loggedIdentities = 8
+	// firstProbeDelay and secondProbeDelay are the times after a broken attempt at which its
+	// server is probed. A crashed server refuses connections at once or, where its sockets are
+	// closed one by one, shortly afterwards.
+	firstProbeDelay, secondProbeDelay = 20 * time.Millisecond, 300 * time.Millisecond
+	// reportBatchDelay combines the crashes of servers that fail together into one report.
+	reportBatchDelay = 10 * time.Millisecond
+	// decisionDelay passes between a report and the decision, so that the other nodes that had
+	// requests at the server can report as well.
+	decisionDelay = 150 * time.Millisecond
+	// tickInterval is the period of Run's checks: unacknowledged reports, records of servers,
+	// expired quarantines, pending writes to the store.
+	tickInterval = 500 * time.Millisecond
+	// reportTimeout is the timeout of one report, which is retried for reportRetryWindow. After
+	// storeFallbackDelay without an acknowledgement it goes through the store as well: that
+	// allows for two tries, so that one lost message costs no call to the store.
+	reportTimeout      = 400 * time.Millisecond
+	storeFallbackDelay = 900 * time.Millisecond
+	reportRetryWindow  = 15 * time.Second
+	// maxLoggedIdentities limits the identities in the log line of a crash.
+	maxLoggedIdentities = 8
 )
 
-// Config of a Guard.
+// Config configures a Guard.
 type Config struct {
 	View *fleet.View
-	// Connect finds out whether somebody listens at a server's address; ECONNREFUSED:
-	// nobody does.
+	// Connect tests whether a process listens at a server's address; ECONNREFUSED means that
+	// none does.
 	Connect func(ctx context.Context, address string) error
-	// Collectors are the addresses of the nodes that collect reports.
+	// Collectors returns the addresses of the nodes that collect crash reports.
 	Collectors func() []string
-	// Followers are the nodes that this one must tell of entries: those that report to
-	// it, if it holds the orders.
+	// Followers returns the addresses of the nodes that this one must send entries to: those
+	// that report to it while it holds the lease for orders.
 	Followers func() []string
 	Transport peer.Transport
-	// Address of this node.
+	// Address is this node's peer address.
 	Address string
-	// Store keeps entries for nodes that start, or were not reached, and ends that not
-	// all collectors heard of. The prefixes begin their keys.
+	// Store keeps entries for nodes that start later or were not reached, and crashes that some
+	// collector has not acknowledged. The prefixes begin their keys.
 	Store                        outside.KeyValueService
 	EntriesPrefix, CrashesPrefix string
-	// OnCrash is called with each server that ended under requests; nil: not called.
+	// OnCrash is called with each server that crashed under requests; may be nil.
 	OnCrash func()
 	Logger  zerolog.Logger
 }
 
-// Guard is a node's part in finding poison requests. It is safe for concurrent use.
+// Guard detects poison requests for one node and refuses them. It is safe for concurrent use.
 //
-// Without it one request ended 14 servers within 45 s, each with up to 12 other requests
-// under way (7 nodes, 18 servers; count of servers that closed all connections at once and
-// refused new ones). With it three end (three whole nodes, one try after the other), and
-// all of 7 nodes know 0.16 s after the last (19 of 19, by the times of their log lines).
+// Without it one request crashed 14 servers within 45 s, each with up to 12 other requests
+// running (7 nodes, 18 servers; count of servers that closed all connections at once and
+// refused new ones). With it three crash (three whole nodes, one try after the other), and all
+// of 7 nodes refuse the request 0.16 s after the last crash (19 of 19, by the times of their
+// log lines).
 type Guard struct {
 	config     Config
 	suspects   *suspects
 	served     *served
-	ledger     *Ledger
+	crashes    *CrashLog
 	quarantine *Quarantine
-	record     *record
-	shared     *sharedEnds
+	entryStore *entryStore
+	shared     *sharedCrashes
 
 	mutex sync.Mutex
-	// gathered ends of this node that go out together, and the unanswered reports.
-	gathered   []timedEnd
-	unanswered []*unanswered
-	// deciding: a decision is due.
-	deciding bool
-	// recent views, as of the last ticks: servers that leave as planned serve on for
-	// longer than these are old.
-	recent [2]*fleet.Snapshot
+	// pending are this node's crashes that go into the next report; unacknowledged are the
+	// reports that some collector has not answered.
+	pending        []timedCrash
+	unacknowledged []*unacknowledgedReport
+	// decisionScheduled is set while a decision is due.
+	decisionScheduled bool
+	// recentViews are the snapshots of the last ticks. Servers that shut down as planned
+	// continue to serve for longer than the age of these snapshots.
+	recentViews [2]*fleet.Snapshot
 }
 
-// unanswered is a report that a collector has not answered yet.
-type unanswered struct {
+// unacknowledgedReport is a report that a collector has not answered yet.
+type unacknowledgedReport struct {
 	collector string
-	ends      []timedEnd
+	crashes   []timedCrash
 	since     time.Time
-	// sending: an answer is being waited for.
+	// sending is set while a call is in flight.
 	sending bool
 }
 
-// NewGuard returns a guard and registers its messages with the transport.
+// NewGuard returns a guard and registers its message handlers with the transport.
 func NewGuard(config Config) *Guard {
 	if config.OnCrash == nil {
 		config.OnCrash = func() {}
 	}
 	g := &Guard{
-		config: config, suspects: newSuspects(), served: newServed(), ledger: NewLedger(), quarantine: NewQuarantine(),
+		config: config, suspects: newSuspects(), served: newServed(), crashes: NewCrashLog(), quarantine: NewQuarantine(),
 	}
-	g.record, g.shared = newRecord(g), newSharedEnds(g)
+	g.entryStore, g.shared = newEntryStore(g), newSharedCrashes(g)
 	config.Transport.Handle(Report{}, g.serveReport)
 	config.Transport.Handle(Quarantined{}, g.serveQuarantined)
 	config.Transport.Handle(Released{}, g.serveReleased)
@@ -115,68 +117,69 @@
 	return g.quarantine.Refused(identity, time.Now())
 }
 
-// Entries in force.
+// Entries returns the entries in force.
 func (g *Guard) Entries() []Entry { return g.quarantine.All() }
 
-// Replace takes over all keys that the store holds.
+// Replace applies a complete read of the store's keys.
 func (g *Guard) Replace(keyValues []outside.KeyValue) {
-	g.record.replace(keyValues)
+	g.entryStore.replace(keyValues)
 	for _, keyValue := range keyValues {
-		g.shared.take(keyValue)
+		g.shared.load(keyValue)
 	}
 }
 
-// Restored takes over all keys that the store holds after it came back from a backup. The
-// entries that it lost still hold, and are saved again.
+// Restored applies a complete read of the store's keys after the store was restored from a
+// backup. Entries that the restore lost stay in force and are saved again.
 func (g *Guard) Restored(keyValues []outside.KeyValue) {
-	g.record.restored(keyValues)
+	g.entryStore.restored(keyValues)
 	g.shared.restored(keyValues)
 }
 
-// Change takes over one key that was written to the store, or removed there.
+// Change applies one key that was written to the store or deleted there.
 func (g *Guard) Change(event outside.WatchEvent) {
-	g.record.change(event)
+	g.entryStore.change(event)
 	if !event.Deleted {
-		g.shared.take(event.KeyValue)
+		g.shared.load(event.KeyValue)
 	}
 }
 
-// Served notes that a server which began with the identity at the time served it whole.
+// Served records that a server which began a request at the given time served it completely.
 func (g *Guard) Served(identity Identity, began time.Time) {
 	if identity.IsZero() {
 		return
 	}
 	g.served.add(identity, began)
-	g.clearRival(identity, began)
+	g.reportRivalServed(identity, began)
 }
 
-// Broke notes that a server closed the connection of an attempt, begun at the time, before
-// its answer was whole. It counts once it is proved that the server ended, and not where that was
-// planned: a server that drains, or that took its record away, ends in time.
+// Broke records that a server closed the connection of an attempt, begun at the given time,
+// before its answer was complete. The attempt counts once the server is proved to have crashed,
+// and not where its shutdown was planned: a server that drains or has deregistered stops in an
+// orderly way.
 func (g *Guard) Broke(ctx context.Context, identity Identity, server *fleet.Server, began time.Time) {
 	if identity.IsZero() || g.leftAsPlanned(server.ID) {
 		return
 	}
 	now := time.Now()
-	check, ended := g.suspects.add(identity, server.ID, server.Address, began, now)
+	probe, crashed := g.suspects.add(identity, server.ID, server.Address, began, now)
 	switch {
-	case ended:
-		g.report(timedEnd{
+	case crashed:
+		g.queueCrash(timedCrash{
 			server: server.ID, suspects: []suspect{{identity: identity, elapsed: now.Sub(began)}},
-			served: g.served.of([]Identity{identity}), at: now,
+			served: g.served.among([]Identity{identity}), at: now,
 		})
-	case check:
-		go g.look(context.WithoutCancel(ctx), server)
+	case probe:
+		go g.probe(context.WithoutCancel(ctx), server)
 	}
 }
 
-// leftAsPlanned reports whether a server drains, or took its record away a while ago: one
-// whose record goes together with it, since another one takes its place, did not.
+// leftAsPlanned reports whether a server drains or deregistered a while ago. One whose record
+// goes at the same moment, since another server takes its place, did not shut down as planned.
 func (g *Guard) leftAsPlanned(server string) bool {
 	listed := g.config.View.Load().Servers[server]
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	for _, earlier := range g.recent {
+	for _, earlier := range g.recentViews {
 		if listed == nil && earlier != nil {
 			listed = earlier.Servers[server]
 		}
@@ -184,12 +187,12 @@
 	return listed == nil || listed.Draining
 }
 
-// look finds out whether a server that broke attempts has ended.
-func (g *Guard) look(ctx context.Context, server *fleet.Server) {
+// probe finds out whether a server that broke attempts has crashed.
+func (g *Guard) probe(ctx context.Context, server *fleet.Server) {
 	for again := true; again; {
 		began := time.Now()
 		var err error
-		for _, after := range []time.Duration{firstLook, secondLook} {
+		for _, after := range []time.Duration{firstProbeDelay, secondProbeDelay} {
 			time.Sleep(time.Until(began.Add(after)))
 			if err = g.config.Connect(ctx, server.Address); errors.Is(err, syscall.ECONNREFUSED) {
 				g.Ended(server.ID, "refuses connections")
@@ -197,24 +200,24 @@
 			}
 		}
 		if err != nil {
-			// Nobody answers: its record will tell.
+			// No answer and no refusal: its record in the store decides.
 			return
 		}
-		again = g.suspects.lives(server.ID, began)
+		again = g.suspects.confirmAlive(server.ID, began)
 	}
 }
 
-// Ended notes that a server is known to have ended.
+// Ended records that a server is known to have crashed.
 func (g *Guard) Ended(server, proof string) {
-	suspects, brokeAt := g.suspects.end(server)
+	suspects, brokeAt := g.suspects.confirmCrash(server)
 	if len(suspects) == 0 {
 		return
 	}
 	g.config.OnCrash()
 	identities := identitiesOf(suspects)
 	g.config.Logger.Warn().Str("server", server).Str("proof", proof).Int("requests", len(identities)).
-		Strs("identities", logged(identities)).Msg("server ended under requests")
-	g.report(timedEnd{server: server, suspects: suspects, served: g.served.of(identities), at: brokeAt})
+		Strs("identities", loggedIdentities(identities)).Msg("server ended under requests")
+	g.queueCrash(timedCrash{server: server, suspects: suspects, served: g.served.among(identities), at: brokeAt})
 }
 
 func identitiesOf(suspects []suspect) []Identity {
@@ -225,17 +228,17 @@
 	return identities
 }
 
-func logged(identities []Identity) []string {
+func loggedIdentities(identities []Identity) []string {
 	var texts []string
-	for _, identity := range identities[:min(len(identities), loggedIdentities)] {
+	for _, identity := range identities[:min(len(identities), maxLoggedIdentities)] {
 		texts = append(texts, identity.String())
 	}
 	return texts
 }
 
-// Run looks after what is open until ctx ends.
+// Run drives retries, expiry and writes to the store until ctx is done.
 func (g *Guard) Run(ctx context.Context) {
-	ticker := time.NewTicker(tickPeriod)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -244,32 +247,32 @@
 		case <-ticker.C:
 		}
 		now := time.Now()
-		g.keepView()
-		g.lookAtRecords(now)
-		g.sendUnanswered(now)
-		for _, identity := range g.quarantine.removeOver(now) {
-			g.ledger.Expired(identity)
-			g.record.remove(identity, now.Add(g.record.delay(identity)))
+		g.rememberView()
+		g.checkRecords(now)
+		g.sendReports(now)
+		for _, identity := range g.quarantine.removeExpired(now) {
+			g.crashes.QuarantineExpired(identity)
+			g.entryStore.remove(identity, now.Add(g.entryStore.delay(identity)))
 			g.config.Logger.Info().Str("identity", identity.String()).Str("reason", "its time is over").Msg("request released")
 		}
 		g.confirm(now)
-		g.record.tick(now)
+		g.entryStore.tick(now)
 		g.shared.tick(now)
 	}
 }
 
-// keepView remembers which servers are listed now.
-func (g *Guard) keepView() {
+// rememberView keeps the current snapshot for leftAsPlanned.
+func (g *Guard) rememberView() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.recent[0], g.recent[1] = g.config.View.Load(), g.recent[0]
+	g.recentViews[0], g.recentViews[1] = g.config.View.Load(), g.recentViews[0]
 }
 
-// lookAtRecords finds the servers that ended by their records: these are gone without
-// a drain, or another incarnation has the address.
-func (g *Guard) lookAtRecords(now time.Time) {
-	open := g.suspects.open(now)
-	if len(open) == 0 {
+// checkRecords detects crashes by the servers' records: a record that went without a drain, or
+// an address that another incarnation has taken.
+func (g *Guard) checkRecords(now time.Time) {
+	unresolved := g.suspects.unresolved(now)
+	if len(unresolved) == 0 {
 		return
 	}
 	servers := g.config.View.Load().Servers
@@ -277,7 +280,7 @@
 	for id, server := range servers {
 		owner[server.Address] = id
 	}
-	for id, address := range open {
+	for id, address := range unresolved {
 		switch {
 		case servers[id] == nil:
 			g.Ended(id, "its record is gone")
--- a/internal/poison/identity.go
+++ b/internal/poison/identity.go
@@ -1,10 +1,10 @@
-// Package poison finds requests that end the servers that run them, and has every
-// node refuse them.
+// Package poison detects requests that crash the servers that run them, and has every node
+// refuse them.
 //
-// Such a request comes back from its caller, at any node, under another ID. So each
-// one is recognized by its Identity. When a server ends, the nodes that had requests
-// under way there tell each other their identities (Report). A Ledger counts the ends
-// of each identity, and a Quarantine holds those with too many.
+// The caller sends such a request again, to any node and under another ID, so each request is
+// recognized by its Identity. When a server crashes, the nodes that had requests running there
+// report the identities to each other (Report). A CrashLog counts the crashes of each identity,
+// and a Quarantine holds the identities with too many.
 package poison
 
 import (
@@ -14,20 +14,20 @@
 	"encoding/hex"
 )
 
-// Identity is what two tries of one request have in common: their caller, target and
-// body. It is a digest that nobody can aim at, so that no caller can bring the request
-// of one with another key under suspicion.
+// Identity is what all tries of one request have in common: a digest of caller, target and
+// body. It is a cryptographic digest, so no caller can forge a request with the identity of a
+// caller that has another key and bring that request under suspicion.
 type Identity [16]byte
 
-// IdentityOf digests a request. The caller is its key, and empty without one: then
-// requests of any such callers that are alike in all else are the same. Headers are left
-// out, since some of them differ between two tries: IDs, deadlines, the event that a
-// stream goes on at.
+// IdentityOf digests a request. The caller is its key, or empty without one: then requests of
+// all such callers that are equal otherwise have one identity. Headers are left out, since some
+// of them differ between two tries: IDs, deadlines, the event at which a stream resumes.
 func IdentityOf(caller, method, host, target string, body []byte) Identity {
-	// A hash takes all that is written to it; its errors are always nil.
+	// A hash never returns a write error.
 	digest := sha256.New()
 	for _, part := range []string{caller, method, host, target} {
-		// The length keeps two parts from being read as one another's beginning.
+		// The length prefix keeps the parts apart: bytes moved from one part to the next change
+		// the digest.
 		var length [8]byte
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 		_, _ = digest.Write(length[:])
@@ -39,17 +39,19 @@
 	return identity
 }
 
-// loggedBytes of an identity are enough to tell the requests of a day apart.
+// loggedBytes is the length of an identity in logs: enough to distinguish the requests of a
+// day.
 const loggedBytes = 6
 
-// String is the form in logs.
+// String returns the shortened form for logs.
 func (i Identity) String() string { return hex.EncodeToString(i[:loggedBytes]) }
 
-// Text is the whole identity, as in the store's keys and in commands.
+// Text returns the whole identity in hexadecimal, as used in the store's keys and in commands.
 func (i Identity) Text() string { return hex.EncodeToString(i[:]) }
 
-// compare orders identities, so that what depends on their order repeats.
+// compare orders identities, so that results that depend on their order are reproducible.
 func (i Identity) compare(other Identity) int { return bytes.Compare(i[:], other[:]) }
 
-// IsZero reports whether the request has no identity, as one that was not read.
+// IsZero reports whether the request has no identity, for example because its body was not
+// read.
 func (i Identity) IsZero() bool { return i == Identity{} }
--- a/internal/poison/identity_test.go
+++ b/internal/poison/identity_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestIdentityTellsRequestsApart(t *testing.T) {
+func TestIdentityDistinguishesRequests(t *testing.T) {
 	RegisterTestingT(t)
 	of := func(caller, method, host, target, body string) Identity {
 		return IdentityOf(caller, method, host, target, []byte(body))
@@ -16,7 +16,7 @@
 	for _, other := range []Identity{
 		of("d", "POST", "h", "/p?x=1", "body"), of("c", "PUT", "h", "/p?x=1", "body"), of("c", "POST", "i", "/p?x=1", "body"),
 		of("c", "POST", "h", "/p?x=2", "body"), of("c", "POST", "h", "/p?x=1", "bodz"), of("c", "POST", "h", "/p?x=1", ""),
-		// What ends one part begins the next.
+		// Bytes moved from one part to the next.
 		of("c", "POST", "h/", "p?x=1", "body"), of("c", "POST", "h", "/p?x=1b", "ody"),
 	} {
 		Expect(other).NotTo(Equal(one))
--- a/internal/poison/ledger.go
+++ b/internal/poison/ledger.go
@@ -7,118 +7,119 @@
 )
 
 const (
-	// endsToHold ends of servers make an identity held. One that ran beside a poison
-	// request at its first end, and again when its caller tried again, has two.
-	endsToHold = 3
-	// endMemory is how long an end counts.
-	endMemory = 10 * time.Minute
-	// mostEnds are remembered, mostSuspects of each: twice what a server works on at
-	// once where most are used (64).
-	mostEnds, mostSuspects = 1024, 128
-	// mostPast holds are remembered, each for pastMemory after its end.
-	mostPast   = 1024
-	pastMemory = 2 * time.Hour
-	// firstHold is how long an identity is refused at first. Each further time is
-	// twice as long, up to longestHold.
-	firstHold, longestHold = 10 * time.Minute, 2 * time.Hour
-	// provisionalHold is how long the likeliest of several requests at the same ends is
-	// refused: longer than a report takes to all nodes in touch, and short for a request
-	// that is refused by mistake.
-	provisionalHold = 5 * time.Second
+	// crashThreshold is the number of crashes at which an identity is quarantined. A request
+	// that ran beside a poison request at its first crash, and again when its caller retried,
+	// has two.
+	crashThreshold = 3
+	// crashRetention is how long a crash counts.
+	crashRetention = 10 * time.Minute
+	// maxCrashes are kept, with up to maxSuspects each: twice the number of requests that the
+	// largest servers run at once (64).
+	maxCrashes, maxSuspects = 1024, 128
+	// maxPastQuarantines are kept, each for pastQuarantineRetention after its end.
+	maxPastQuarantines      = 1024
+	pastQuarantineRetention = 2 * time.Hour
+	// initialQuarantine is how long an identity is refused the first time. Each further time
+	// takes twice as long, up to maxQuarantine.
+	initialQuarantine, maxQuarantine = 10 * time.Minute, 2 * time.Hour
+	// provisionalQuarantine is how long the likeliest of several requests at the same crashes
+	// is refused: longer than a report takes to all reachable nodes, and short enough for a
+	// false positive.
+	provisionalQuarantine = 5 * time.Second
 )
 
-// Ledger counts the ends of servers by what was under way there. An end at which a
-// held identity was under way is explained by that one: else its neighbours, which
-// callers send again as well, would follow it.
-type Ledger struct {
-	mutex sync.Mutex
-	ends  map[string]*ledgerEnd
-	// past holds by identity.
-	past map[Identity]pastHold
+// CrashLog counts the crashes of servers by the requests that were running there. A crash at
+// which a quarantined identity was running is explained by that identity. Otherwise the
+// requests beside it, which their callers retry as well, would be quarantined after it.
+type CrashLog struct {
+	mutex   sync.Mutex
+	crashes map[string]*crashRecord
+	// past quarantines by identity.
+	past map[Identity]pastQuarantine
 }
 
-// pastHold is what is remembered of an identity after it was held.
-type pastHold struct {
+// pastQuarantine is what is kept of an identity that was quarantined.
+type pastQuarantine struct {
 	times int
 	until time.Time
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger {
-	return &Ledger{ends: map[string]*ledgerEnd{}, past: map[Identity]pastHold{}}
+// NewCrashLog returns an empty log.
+func NewCrashLog() *CrashLog {
+	return &CrashLog{crashes: map[string]*crashRecord{}, past: map[Identity]pastQuarantine{}}
 }
 
-// Add notes what was under way at servers that ended, as one node reports.
-func (l *Ledger) Add(ends []ServerEnd, now time.Time) {
+// Add records what one node reports as running at servers that crashed.
+func (l *CrashLog) Add(crashes []Crash, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.forget(now)
-	for _, reported := range ends {
+	l.expire(now)
+	for _, reported := range crashes {
 		at := now.Add(-reported.Age)
-		end := l.ends[reported.Server]
-		if end == nil {
-			end = &ledgerEnd{at: at, suspects: map[Identity]time.Duration{}, served: map[Identity]bool{}}
-			l.ends[reported.Server] = end
+		crash := l.crashes[reported.Server]
+		if crash == nil {
+			crash = &crashRecord{at: at, suspects: map[Identity]time.Duration{}, served: map[Identity]bool{}}
+			l.crashes[reported.Server] = crash
 		}
-		if at.Before(end.at) {
-			end.at = at
+		if at.Before(crash.at) {
+			crash.at = at
 		}
 		for i, identity := range reported.Suspects {
-			if len(end.suspects) < mostSuspects {
-				end.suspect(identity, reported.elapsedOf(i))
+			if len(crash.suspects) < maxSuspects {
+				crash.addSuspect(identity, reported.elapsedOf(i))
 			}
 		}
 		for _, identity := range reported.Served {
-			if len(end.served) < mostSuspects {
-				end.served[identity] = true
+			if len(crash.served) < maxSuspects {
+				crash.served[identity] = true
 			}
 		}
 	}
 }
 
-// Decide returns the identities that are to be held from now on, and the held ones that are
-// to be released, since one of these explains their ends.
-func (l *Ledger) Decide(held func(Identity) bool, now time.Time) (entries []Entry, explained []Identity) {
+// Decide returns the entries of the identities that are to be quarantined from now on, and the
+// quarantined identities that are to be released because one of these explains their crashes.
+func (l *CrashLog) Decide(wasQuarantined func(Identity) bool, now time.Time) (entries []Entry, explained []Identity) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.forget(now)
+	l.expire(now)
 	found := map[Identity]bool{}
-	isHeld := func(identity Identity) bool { return found[identity] || held(identity) }
-	for exceeded := l.worst(isHeld); len(exceeded) > 0; exceeded = l.worst(isHeld) {
-		identity := l.likeliest(exceeded)
-		entries = append(entries, l.hold(identity, l.rivals(identity, exceeded, isHeld), now))
+	isQuarantined := func(identity Identity) bool { return found[identity] || wasQuarantined(identity) }
+	for candidates := l.topSuspects(isQuarantined); len(candidates) > 0; candidates = l.topSuspects(isQuarantined) {
+		identity := l.likeliestCause(candidates)
+		entries = append(entries, l.newEntry(identity, l.rivals(identity, candidates, isQuarantined), now))
 		found[identity] = true
 	}
 	if len(entries) > 0 {
-		explained = l.explained(held, isHeld)
+		explained = l.toRelease(wasQuarantined, isQuarantined)
 	}
 	return entries, explained
 }
 
-// tally counts the ends of one identity.
-type tally struct {
+// crashCount counts the crashes of one identity.
+type crashCount struct {
 	all, unexplained int
 }
 
-// exceeded reports whether an identity with these ends is to be held. One with more
-// than endsToHold is so if a single one is unexplained: the others may have been
-// explained by one that is held by mistake.
-func (t tally) exceeded(before bool) bool {
-	return t.unexplained >= endsToHold || t.unexplained > 0 && (before || t.all > endsToHold)
+// exceedsThreshold reports whether an identity with these crashes is to be quarantined. With
+// more than crashThreshold crashes, or after an earlier quarantine, a single unexplained one is
+// enough: the others may have been explained by a false positive.
+func (c crashCount) exceedsThreshold(quarantinedBefore bool) bool {
+	return c.unexplained >= crashThreshold || c.unexplained > 0 && (quarantinedBefore || c.all > crashThreshold)
 }
 
-// worst returns, of the identities that are to be refused, those with the most ends
-// that no held one explains. Of several with as many, those come first that were never
-// seen served: the ends that they explain count against no other.
-func (l *Ledger) worst(held func(Identity) bool) []Identity {
+// topSuspects returns, of the identities that exceed the threshold, those with the most
+// unexplained crashes. Where several have equally many, those that no node has seen served come
+// first, since the crashes that they explain no longer count against any other.
+func (l *CrashLog) topSuspects(isQuarantined func(Identity) bool) []Identity {
 	var found []Identity
-	most := 0
-	for identity, ends := range l.count(held) {
-		if _, before := l.past[identity]; held(identity) || !ends.exceeded(before) || ends.unexplained < most {
+	maxUnexplained := 0
+	for identity, count := range l.count(isQuarantined) {
+		if _, quarantinedBefore := l.past[identity]; isQuarantined(identity) || !count.exceedsThreshold(quarantinedBefore) || count.unexplained < maxUnexplained {
 			continue
 		}
-		if ends.unexplained > most {
-			most, found = ends.unexplained, nil
+		if count.unexplained > maxUnexplained {
+			maxUnexplained, found = count.unexplained, nil
 		}
 		found = append(found, identity)
 	}
@@ -128,46 +129,46 @@
 	return found
 }
 
-// wasServed reports whether some node has seen an identity served before an end at which it
-// was under way.
-func (l *Ledger) wasServed(identity Identity) bool {
-	for _, end := range l.ends {
-		if end.served[identity] {
+// wasServed reports whether some node has seen an identity served before a crash at which it
+// was running.
+func (l *CrashLog) wasServed(identity Identity) bool {
+	for _, crash := range l.crashes {
+		if crash.served[identity] {
 			return true
 		}
 	}
 	return false
 }
 
-// count returns the ends of each identity.
-func (l *Ledger) count(held func(Identity) bool) map[Identity]tally {
-	counts := map[Identity]tally{}
-	for _, end := range l.ends {
-		explained := end.explained(held)
-		for identity := range end.suspects {
-			ends := counts[identity]
-			ends.all++
+// count returns the number of crashes of each identity.
+func (l *CrashLog) count(isQuarantined func(Identity) bool) map[Identity]crashCount {
+	counts := map[Identity]crashCount{}
+	for _, crash := range l.crashes {
+		explained := crash.explained(isQuarantined)
+		for identity := range crash.suspects {
+			count := counts[identity]
+			count.all++
 			if !explained {
-				ends.unexplained++
+				count.unexplained++
 			}
-			counts[identity] = ends
+			counts[identity] = count
 		}
 	}
 	return counts
 }
 
-// hold makes the entry. It must be called with the lock held.
-func (l *Ledger) hold(identity Identity, rivals []Identity, now time.Time) Entry {
-	entry := Entry{Identity: identity, Times: l.past[identity].times, Rivals: rivals, Until: now.Add(provisionalHold)}
+// newEntry makes the entry. The caller must hold the lock.
+func (l *CrashLog) newEntry(identity Identity, rivals []Identity, now time.Time) Entry {
+	entry := Entry{Identity: identity, Times: l.past[identity].times, Rivals: rivals, Until: now.Add(provisionalQuarantine)}
 	if !entry.provisional() {
 		entry = entry.confirmed(now)
 	}
 	first := now
-	for server, end := range l.ends {
-		if end.has(identity) {
+	for server, crash := range l.crashes {
+		if crash.hasSuspect(identity) {
 			entry.Servers = append(entry.Servers, server)
-			if end.at.Before(first) {
-				first = end.at
+			if crash.at.Before(first) {
+				first = crash.at
 			}
 		}
 	}
@@ -177,78 +178,79 @@
 	return entry
 }
 
-// confirmed is the entry once nothing but its identity explains the ends.
+// confirmed returns the entry as it is once only its identity explains the crashes.
 func (e Entry) confirmed(now time.Time) Entry {
 	e.Rivals = nil
 	e.Times++
-	e.Until = now.Add(holdOf(e.Times))
+	e.Until = now.Add(quarantineDuration(e.Times))
 	return e
 }
 
-// holdOf is how long an identity is refused that is held for the nth time.
-func holdOf(times int) time.Duration {
-	hold := firstHold
+// quarantineDuration is how long an identity is refused that is quarantined for the nth time.
+func quarantineDuration(times int) time.Duration {
+	duration := initialQuarantine
 	for range times - 1 {
-		hold = min(2*hold, longestHold)
+		duration = min(2*duration, maxQuarantine)
 	}
-	return hold
+	return duration
 }
 
-// Remember notes an entry of another node.
-func (l *Ledger) Remember(entry Entry) {
+// RememberEntry records an entry that another node made.
+func (l *CrashLog) RememberEntry(entry Entry) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.remember(entry)
 }
 
-func (l *Ledger) remember(entry Entry) {
+func (l *CrashLog) remember(entry Entry) {
 	times := max(entry.Times, l.past[entry.Identity].times)
-	l.past[entry.Identity] = pastHold{times: times, until: entry.Until.Add(pastMemory)}
-	for len(l.past) > mostPast {
-		dropEarliest(l.past, func(c pastHold) time.Time { return c.until })
+	l.past[entry.Identity] = pastQuarantine{times: times, until: entry.Until.Add(pastQuarantineRetention)}
+	for len(l.past) > maxPastQuarantines {
+		dropEarliest(l.past, func(past pastQuarantine) time.Time { return past.until })
 	}
 }
 
-// Clear takes an identity out of all ends, and forgets that it was held.
-func (l *Ledger) Clear(identity Identity) {
+// Clear removes an identity from the suspects of all crashes, and forgets its past quarantines.
+func (l *CrashLog) Clear(identity Identity) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	delete(l.past, identity)
-	for _, end := range l.ends {
-		delete(end.suspects, identity)
+	for _, crash := range l.crashes {
+		delete(crash.suspects, identity)
 	}
 }
 
-// Expired notes that the hold of an identity is over: with one more end it is held again.
-// The ends that it was held for count against no other.
-func (l *Ledger) Expired(identity Identity) {
+// QuarantineExpired records that the quarantine of an identity is over: one more crash
+// quarantines it again. The crashes that it was quarantined for count against no other
+// identity.
+func (l *CrashLog) QuarantineExpired(identity Identity) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for _, end := range l.ends {
-		if end.has(identity) {
-			end.settled = true
+	for _, crash := range l.crashes {
+		if crash.hasSuspect(identity) {
+			crash.settled = true
 		}
 	}
 }
 
-// forget drops what is old, and the oldest of what is too much.
-func (l *Ledger) forget(now time.Time) {
-	for server, end := range l.ends {
-		if now.Sub(end.at) > endMemory {
-			delete(l.ends, server)
+// expire drops what is too old, and the oldest crashes and quarantines beyond the limits.
+func (l *CrashLog) expire(now time.Time) {
+	for server, crash := range l.crashes {
+		if now.Sub(crash.at) > crashRetention {
+			delete(l.crashes, server)
 		}
 	}
-	for len(l.ends) > mostEnds {
-		dropEarliest(l.ends, func(end *ledgerEnd) time.Time { return end.at })
+	for len(l.crashes) > maxCrashes {
+		dropEarliest(l.crashes, func(crash *crashRecord) time.Time { return crash.at })
 	}
-	for identity, before := range l.past {
-		if now.After(before.until) {
+	for identity, past := range l.past {
+		if now.After(past.until) {
 			delete(l.past, identity)
 		}
 	}
 }
 
-// dropEarliest removes the entry with the earliest time.
+// dropEarliest removes the value with the earliest time.
 func dropEarliest[K comparable, V any](entries map[K]V, at func(V) time.Time) {
 	var earliest K
 	var earliestAt time.Time
--- a/internal/poison/messages.go
+++ b/internal/poison/messages.go
@@ -6,51 +6,52 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// Report tells a collector what was under way at servers that ended.
+// Report sends a collector what was running at servers that crashed.
 type Report struct {
-	Ends []ServerEnd
+	Ends []Crash
 }
 
-// Entry is an identity that all nodes refuse, and until when.
+// Entry is an identity that all nodes refuse, with the time until which they do.
 type Entry struct {
 	Identity Identity
-	// Times that it was held, with this one.
+	// Times is how often the identity was quarantined, including this time.
 	Times int
-	// Servers that ended under it.
+	// Servers are the IDs of the incarnations that crashed under it.
 	Servers []string
-	// Since is when the first of them did.
+	// Since is the time of the first of these crashes.
 	Since time.Time
 	Until time.Time
-	// Rivals were under way at the same ends, of which this identity is only the likeliest
-	// cause. Without any, nothing else explains the ends.
+	// Rivals were running at the same crashes; this identity is only the likeliest cause among
+	// them. Without rivals, nothing else explains the crashes.
 	Rivals []Identity
 }
 
 // provisional reports whether another identity may be the cause.
 func (e Entry) provisional() bool { return len(e.Rivals) > 0 }
 
-// Quarantined tells another node of an entry, in times that need no common clock.
+// Quarantined sends another node an entry. It contains durations, so that the nodes need no
+// common clock.
 type Quarantined struct {
 	Identity Identity
 	Times    int
 	Servers  []string
-	// Age of the first end, and Remaining time of the hold.
+	// Age is the time since the first crash, Remaining that until the quarantine expires.
 	Age, Remaining time.Duration
 	Rivals         []Identity
 }
 
-// Entries answers a Report.
+// Entries is the reply to a Report.
 type Entries struct {
 	Entries []Quarantined
 }
 
-// Released clears an identity: a server has served it since the first end of its entry, or
-// another request explains its ends.
+// Released clears an identity: a server has served it since the first crash of its entry, or
+// another request explains its crashes.
 type Released struct {
 	Identity Identity
-	// Age of the run that was served, since it began.
+	// Age is the time since the served run began.
 	Age time.Duration
-	// Explained by another request: nothing was served.
+	// Explained by another request; nothing was served.
 	Explained bool
 }
 
@@ -64,7 +65,7 @@
 func (q Quarantined) entry(now time.Time) Entry {
 	return Entry{
 		Identity: q.Identity, Times: q.Times, Servers: q.Servers,
-		Since: now.Add(-q.Age), Until: now.Add(min(q.Remaining, longestHold)), Rivals: q.Rivals,
+		Since: now.Add(-q.Age), Until: now.Add(min(q.Remaining, maxQuarantine)), Rivals: q.Rivals,
 	}
 }
 
--- a/internal/poison/provisional_test.go
+++ b/internal/poison/provisional_test.go
@@ -9,119 +9,120 @@
 	. "github.com/onsi/gomega"
 )
 
-// tie ends three servers under all identities at three nodes, and each under its culprit, if
+// tie crashes three servers under all identities at three nodes, and each under its culprit, if
 // there are any. The first identity has always run for the same time, so it is the likeliest.
-func (w *world) tie(identities []Identity, culprits ...Identity) {
-	for i := range endsToHold {
-		server := w.server(fmt.Sprint("s", i))
-		w.refuse(server)
+func (c *cluster) tie(identities []Identity, culprits ...Identity) {
+	for i := range crashThreshold {
+		server := c.server(fmt.Sprint("s", i))
+		c.refuse(server)
 		if i < len(culprits) {
-			w.nodes[i].guard.Broke(context.Background(), culprits[i], server, time.Now().Add(-time.Second))
+			c.nodes[i].guard.Broke(context.Background(), culprits[i], server, time.Now().Add(-time.Second))
 		}
 		for number, identity := range identities {
 			ran := time.Second + time.Duration(number*i)*100*time.Millisecond
-			w.nodes[i].guard.Broke(context.Background(), identity, server, time.Now().Add(-ran))
+			c.nodes[i].guard.Broke(context.Background(), identity, server, time.Now().Add(-ran))
 		}
 		time.Sleep(time.Second)
 	}
 }
 
-// twoCulprits ends three servers under two harmless requests, one of them under one bad request and
-// two under another, and lets the likeliest harmless one's rival be served.
-func (w *world) twoCulprits() (harmless, bad []Identity) {
-	harmless, bad = numbered(0, 2), numbered(2, 4)
-	w.tie(harmless, bad[0], bad[1], bad[1])
-	w.nodes[3].guard.Served(harmless[1], time.Now())
-	time.Sleep(provisionalHold)
-	return harmless, bad
+// twoCulprits crashes three servers under two unrelated requests, one of them also under one
+// poison request and two under another, and has the rival of the likeliest unrelated request
+// served.
+func (c *cluster) twoCulprits() (unrelated, poison []Identity) {
+	unrelated, poison = numbered(0, 2), numbered(2, 4)
+	c.tie(unrelated, poison[0], poison[1], poison[1])
+	c.nodes[3].guard.Served(unrelated[1], time.Now())
+	time.Sleep(provisionalQuarantine)
+	return unrelated, poison
 }
 
-// Guards against a request that ends a further server each time its provisional hold is over,
-// although its rivals, each at another node, have been served since.
-func TestProvisionalHoldIsConfirmedOnceItsRivalsAreServed(t *testing.T) {
-	inWorld(t, 8, 3, func(w *world) {
+// Guards against a request that crashes a further server each time its provisional quarantine
+// expires, although its rivals, each at another node, have been served since.
+func TestProvisionalQuarantineIsConfirmedOnceItsRivalsAreServed(t *testing.T) {
+	runInCluster(t, 8, 3, func(c *cluster) {
 		tied := numbered(0, 3)
-		w.tie(tied)
-		Expect(w.held(tied[0])).To(Equal(8))
-		w.nodes[4].guard.Served(tied[1], time.Now())
-		w.nodes[5].guard.Served(tied[2], time.Now())
-		time.Sleep(provisionalHold)
-		Expect(w.held(tied[0])).To(Equal(8))
-		Expect(w.held(tied[1]) + w.held(tied[2])).To(BeZero())
-		Expect(w.store.entries()).To(HaveLen(1))
+		c.tie(tied)
+		Expect(c.refusedBy(tied[0])).To(Equal(8))
+		c.nodes[4].guard.Served(tied[1], time.Now())
+		c.nodes[5].guard.Served(tied[2], time.Now())
+		time.Sleep(provisionalQuarantine)
+		Expect(c.refusedBy(tied[0])).To(Equal(8))
+		Expect(c.refusedBy(tied[1]) + c.refusedBy(tied[2])).To(BeZero())
+		Expect(c.store.entries()).To(HaveLen(1))
 	})
 }
 
-// Guards against a guess that is taken for certain: one rival has not been served.
-func TestProvisionalHoldEndsWhereARivalIsLeft(t *testing.T) {
-	inWorld(t, 4, 3, func(w *world) {
+// Guards against confirming a provisional entry with one rival that has not been served.
+func TestProvisionalQuarantineExpiresWhereARivalIsLeft(t *testing.T) {
+	runInCluster(t, 4, 3, func(c *cluster) {
 		tied := numbered(0, 3)
-		w.tie(tied)
-		w.nodes[3].guard.Served(tied[1], time.Now())
-		Expect(w.held(tied[0])).To(Equal(4))
-		Expect(w.store.entries()).To(BeEmpty())
-		time.Sleep(provisionalHold)
+		c.tie(tied)
+		c.nodes[3].guard.Served(tied[1], time.Now())
+		Expect(c.refusedBy(tied[0])).To(Equal(4))
+		Expect(c.store.entries()).To(BeEmpty())
+		time.Sleep(provisionalQuarantine)
 		for _, identity := range tied {
-			Expect(w.held(identity)).To(BeZero())
+			Expect(c.refusedBy(identity)).To(BeZero())
 		}
 	})
 }
 
-// Guards against a harmless request that stays refused after a further end has shown that
-// another one ends the servers.
-func TestWrongGuessIsReleasedByAFurtherEnd(t *testing.T) {
-	inWorld(t, 4, 3, func(w *world) {
+// Guards against an unrelated request that stays refused after a further crash has shown that
+// another one is the cause.
+func TestFalsePositiveIsReleasedByAFurtherCrash(t *testing.T) {
+	runInCluster(t, 4, 3, func(c *cluster) {
 		tied := numbered(0, 2)
-		w.tie(tied)
-		Expect(w.held(tied[0])).To(Equal(4))
-		w.end(w.server("s9"), map[*node][]Identity{w.nodes[3]: tied[1:]})
+		c.tie(tied)
+		Expect(c.refusedBy(tied[0])).To(Equal(4))
+		c.crash(c.server("s9"), map[*node][]Identity{c.nodes[3]: tied[1:]})
 		time.Sleep(time.Second)
-		Expect(w.held(tied[0])).To(BeZero())
-		Expect(w.held(tied[1])).To(Equal(4))
-		Expect(w.store.entries()).To(HaveLen(1))
+		Expect(c.refusedBy(tied[0])).To(BeZero())
+		Expect(c.refusedBy(tied[1])).To(Equal(4))
+		Expect(c.store.entries()).To(HaveLen(1))
 	})
 }
 
-// Guards against requests that are refused in the moment before a node objects, which has served
-// them since and collects no reports.
-func TestNodeThatServedObjectsBeforeAnybodyRefuses(t *testing.T) {
-	inWorld(t, 5, 3, func(w *world) {
-		harmless := numbered(0, 1)
-		for i := range endsToHold {
-			w.end(w.server(fmt.Sprint("s", i)), map[*node][]Identity{w.nodes[i]: harmless})
+// Guards against refusals in the moment before a node objects that has served the request since
+// and is no collector.
+func TestNodeThatServedObjectsBeforeAnyNodeRefuses(t *testing.T) {
+	runInCluster(t, 5, 3, func(c *cluster) {
+		unrelated := numbered(0, 1)
+		for i := range crashThreshold {
+			c.crash(c.server(fmt.Sprint("s", i)), map[*node][]Identity{c.nodes[i]: unrelated})
 			if i == 0 {
 				time.Sleep(time.Second)
-				w.nodes[3].guard.Served(harmless[0], time.Now())
+				c.nodes[3].guard.Served(unrelated[0], time.Now())
 			}
 		}
 		for range 1000 {
 			time.Sleep(time.Millisecond)
-			Expect(w.held(harmless[0])).To(BeZero())
+			Expect(c.refusedBy(unrelated[0])).To(BeZero())
 		}
 	})
 }
 
-// Guards against a harmless request that is refused for minutes where servers ended under two
-// others: it was at three of the ends, each of them at two or fewer, and that its rival was served
-// says nothing of who ended the servers.
+// Guards against an unrelated request that is refused for minutes where servers crashed under
+// two others: it was running at three of the crashes, each of the two at fewer, and that its
+// rival was served proves nothing about the cause.
 func TestRivalsThatWereServedProveNothingWhereTwoRequestsEndServers(t *testing.T) {
-	inWorld(t, 4, 3, func(w *world) {
-		harmless, _ := w.twoCulprits()
-		Expect(w.held(harmless[0])).To(BeZero())
+	runInCluster(t, 4, 3, func(c *cluster) {
+		unrelated, _ := c.twoCulprits()
+		Expect(c.refusedBy(unrelated[0])).To(BeZero())
 	})
 }
 
-// Guards against a harmless request that stays refused for minutes although one of two that ended
-// its servers is found: what that one explains leaves it fewer ends than it is held for.
-func TestRequestIsReleasedOnceTheCauseOfMostOfItsEndsIsHeld(t *testing.T) {
-	inWorld(t, 4, 3, func(w *world) {
-		harmless, bad := w.twoCulprits()
-		Expect(w.held(harmless[0])).To(Equal(4))
+// Guards against an unrelated request that stays refused for minutes although one of the two
+// poison requests beside it is found: the crashes that are left to it are below the threshold.
+func TestRequestIsReleasedOnceTheCauseOfMostOfItsCrashesIsQuarantined(t *testing.T) {
+	runInCluster(t, 4, 3, func(c *cluster) {
+		unrelated, poison := c.twoCulprits()
+		Expect(c.refusedBy(unrelated[0])).To(Equal(4))
 		for i := range 2 {
-			w.end(w.server(fmt.Sprint("t", i)), map[*node][]Identity{w.nodes[i]: bad[1:]})
+			c.crash(c.server(fmt.Sprint("t", i)), map[*node][]Identity{c.nodes[i]: poison[1:]})
 			time.Sleep(time.Second)
 		}
-		Expect(w.held(bad[1])).To(Equal(4))
-		Expect(w.held(harmless[0])).To(BeZero())
+		Expect(c.refusedBy(poison[1])).To(Equal(4))
+		Expect(c.refusedBy(unrelated[0])).To(BeZero())
 	})
 }
--- a/internal/poison/quarantine.go
+++ b/internal/poison/quarantine.go
@@ -6,123 +6,125 @@
 	"time"
 )
 
-// mostHeld identities are refused at once; beyond, the ones whose hold ends first go.
-// Each of them has cost three servers.
-const mostHeld = 1024
+// maxEntries identities are refused at once; beyond that, those whose quarantine expires first
+// are dropped. Each identity has cost three servers.
+const maxEntries = 1024
 
-// objectionTime is how long a new entry refuses nobody, so that a node which has served the
-// identity since can object. It exceeds the time of two messages between zones.
-const objectionTime = 50 * time.Millisecond
+// objectionWindow is how long a new entry refuses nothing, so that a node which has served the
+// identity since can object. It is longer than two messages take between zones.
+const objectionWindow = 50 * time.Millisecond
 
-// Quarantine holds the identities that are refused.
+// Quarantine contains the identities that are refused.
 type Quarantine struct {
-	mutex sync.RWMutex
-	held  map[Identity]heldEntry
+	mutex   sync.RWMutex
+	entries map[Identity]quarantineEntry
 }
 
-// heldEntry is an entry, and when it begins to refuse.
-type heldEntry struct {
+// quarantineEntry is an entry with the time from which it refuses requests.
+type quarantineEntry struct {
 	Entry
 	refusesFrom time.Time
 }
 
 // NewQuarantine returns an empty quarantine.
 func NewQuarantine() *Quarantine {
-	return &Quarantine{held: map[Identity]heldEntry{}}
+	return &Quarantine{entries: map[Identity]quarantineEntry{}}
 }
 
-// Held returns the entry of an identity that is held.
-func (q *Quarantine) Held(identity Identity, now time.Time) (Entry, bool) {
+// Lookup returns the entry of an identity that is quarantined, also within the objection
+// window.
+func (q *Quarantine) Lookup(identity Identity, now time.Time) (Entry, bool) {
 	q.mutex.RLock()
 	defer q.mutex.RUnlock()
-	held, found := q.held[identity]
-	return held.Entry, found && now.Before(held.Until)
+	entry, found := q.entries[identity]
+	return entry.Entry, found && now.Before(entry.Until)
 }
 
-// heldAt returns which identities are held at a time. It does not follow later changes: an
-// entry of another node that came during a decision would make its rival the only suspect.
-func (q *Quarantine) heldAt(now time.Time) func(Identity) bool {
+// quarantinedAt returns a predicate for the identities quarantined at a time. It does not
+// follow later changes: an entry received from another node during a decision would leave its
+// rival as the only suspect.
+func (q *Quarantine) quarantinedAt(now time.Time) func(Identity) bool {
 	q.mutex.RLock()
 	defer q.mutex.RUnlock()
-	held := make(map[Identity]bool, len(q.held))
-	for identity, entry := range q.held {
-		held[identity] = now.Before(entry.Until)
+	quarantined := make(map[Identity]bool, len(q.entries))
+	for identity, entry := range q.entries {
+		quarantined[identity] = now.Before(entry.Until)
 	}
-	return func(identity Identity) bool { return held[identity] }
+	return func(identity Identity) bool { return quarantined[identity] }
 }
 
-// hasRival reports whether an identity, begun at a time, is a rival of one that is held for
-// ends since before.
+// hasRival reports whether an identity that a server began to run at the given time is a rival
+// of an entry whose first crash is earlier.
 func (q *Quarantine) hasRival(identity Identity, began time.Time) bool {
 	q.mutex.RLock()
 	defer q.mutex.RUnlock()
-	for _, held := range q.held {
-		if began.After(held.Since) && slices.Contains(held.Rivals, identity) {
+	for _, entry := range q.entries {
+		if began.After(entry.Since) && slices.Contains(entry.Rivals, identity) {
 			return true
 		}
 	}
 	return false
 }
 
-// Refused returns the entry by which an identity is refused: one that is held, and that
-// nobody has objected to in time.
+// Refused returns the entry by which an identity is refused: one that is quarantined and whose
+// objection window is over.
 func (q *Quarantine) Refused(identity Identity, now time.Time) (Entry, bool) {
 	q.mutex.RLock()
 	defer q.mutex.RUnlock()
-	held, found := q.held[identity]
-	return held.Entry, found && now.Before(held.Until) && !now.Before(held.refusesFrom)
+	entry, found := q.entries[identity]
+	return entry.Entry, found && now.Before(entry.Until) && !now.Before(entry.refusesFrom)
 }
 
-// add takes an entry over, which refuses from a time on unless the identity is held
-// already. It reports whether it was not, or only provisionally.
+// add stores an entry, which refuses from the given time on unless the identity is quarantined
+// already. It reports whether the identity was not quarantined before, or only provisionally.
 func (q *Quarantine) add(entry Entry, refusesFrom, now time.Time) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	before, found := q.held[entry.Identity]
+	before, found := q.entries[entry.Identity]
 	if !now.Before(entry.Until) || found && !entry.Until.After(before.Until) {
 		return false
 	}
-	again := found && now.Before(before.Until)
-	if again {
+	active := found && now.Before(before.Until)
+	if active {
 		refusesFrom = before.refusesFrom
 	}
-	q.held[entry.Identity] = heldEntry{Entry: entry, refusesFrom: refusesFrom}
-	for len(q.held) > mostHeld {
-		dropEarliest(q.held, func(held heldEntry) time.Time { return held.Until })
+	q.entries[entry.Identity] = quarantineEntry{Entry: entry, refusesFrom: refusesFrom}
+	for len(q.entries) > maxEntries {
+		dropEarliest(q.entries, func(entry quarantineEntry) time.Time { return entry.Until })
 	}
-	return !again || before.provisional() && !entry.provisional()
+	return !active || before.provisional() && !entry.provisional()
 }
 
-// remove lets an identity go, and reports whether it was held.
+// remove drops an identity, and reports whether it was quarantined.
 func (q *Quarantine) remove(identity Identity) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	_, found := q.held[identity]
-	delete(q.held, identity)
+	_, found := q.entries[identity]
+	delete(q.entries, identity)
 	return found
 }
 
-// removeOver removes and returns the identities whose hold is over.
-func (q *Quarantine) removeOver(now time.Time) []Identity {
+// removeExpired removes and returns the identities whose quarantine is over.
+func (q *Quarantine) removeExpired(now time.Time) []Identity {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	var over []Identity
-	for identity, held := range q.held {
-		if !now.Before(held.Until) {
-			over = append(over, identity)
-			delete(q.held, identity)
+	var expired []Identity
+	for identity, entry := range q.entries {
+		if !now.Before(entry.Until) {
+			expired = append(expired, identity)
+			delete(q.entries, identity)
 		}
 	}
-	return over
+	return expired
 }
 
-// All returns the entries in force, in order of identity.
+// All returns the entries in force, ordered by identity.
 func (q *Quarantine) All() []Entry {
 	q.mutex.RLock()
 	defer q.mutex.RUnlock()
-	all := make([]Entry, 0, len(q.held))
-	for _, held := range q.held {
-		all = append(all, held.Entry)
+	all := make([]Entry, 0, len(q.entries))
+	for _, entry := range q.entries {
+		all = append(all, entry.Entry)
 	}
 	slices.SortFunc(all, func(a, b Entry) int { return a.Identity.compare(b.Identity) })
 	return all
--- a/internal/poison/record.go
+++ b/internal/poison/record.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// storeTimeout of a write.
+	// storeTimeout is the timeout of a write.
 	storeTimeout = time.Second
-	// savePause between the tries of one node, and between the first tries of two nodes
-	// in their order, so that mostly one of them writes.
-	savePause = 500 * time.Millisecond
-	// clockTolerance is how far the nodes' times of day may differ.
-	clockTolerance = 5 * time.Second
+	// saveInterval is the time between the tries of one node, and between the first tries of
+	// two nodes in rank order, so that usually only one of them writes.
+	saveInterval = 500 * time.Millisecond
+	// maxClockSkew is how far the nodes' wall clocks may differ.
+	maxClockSkew = 5 * time.Second
 )
 
-// savedEntry is an entry in the store. Its times are those of day: holds last for
-// minutes, so that clocks which differ by seconds do no harm.
+// savedEntry is the stored form of an entry. Its times are wall-clock times: quarantines last
+// for minutes, so a skew of seconds does not matter.
 type savedEntry struct {
 	Times       int      `json:"times"`
 	Servers     []string `json:"servers"`
@@ -32,103 +32,103 @@
 	UntilMillis int64    `json:"until_ms"`
 }
 
-// record keeps entries in the store, one key each, so that nodes know them that were
-// not reached, or that start later. A key that is removed there releases its identity.
-type record struct {
+// entryStore keeps entries in the store, one key each, for nodes that were not reached or that
+// start later. Deleting a key releases its identity.
+type entryStore struct {
 	guard *Guard
 
 	mutex sync.Mutex
 	// revisions of the keys that are known to be in the store.
 	revisions map[Identity]int64
-	// open writes: entries to save, and keys to remove.
-	open map[Identity]*openWrite
+	// pending writes: entries to save, and keys to delete.
+	pending map[Identity]*pendingWrite
 }
 
-type openWrite struct {
+type pendingWrite struct {
 	entry   Entry
 	remove  bool
 	nextTry time.Time
 	writing bool
 }
 
-func newRecord(guard *Guard) *record {
-	return &record{guard: guard, revisions: map[Identity]int64{}, open: map[Identity]*openWrite{}}
+func newEntryStore(guard *Guard) *entryStore {
+	return &entryStore{guard: guard, revisions: map[Identity]int64{}, pending: map[Identity]*pendingWrite{}}
 }
 
-func (r *record) key(identity Identity) string {
-	return r.guard.config.EntriesPrefix + identity.Text()
+func (s *entryStore) key(identity Identity) string {
+	return s.guard.config.EntriesPrefix + identity.Text()
 }
 
-// identityOf returns the identity that a key is about.
-func (r *record) identityOf(key string) (identity Identity, is bool) {
-	text, own := strings.CutPrefix(key, r.guard.config.EntriesPrefix)
-	if !own {
+// identityOf returns the identity that a key belongs to.
+func (s *entryStore) identityOf(key string) (identity Identity, ok bool) {
+	text, hasPrefix := strings.CutPrefix(key, s.guard.config.EntriesPrefix)
+	if !hasPrefix {
 		return identity, false
 	}
 	decoded, err := hex.DecodeString(text)
 	if err != nil || len(decoded) != len(identity) {
-		r.guard.config.Logger.Error().Str("key", key).Msg("key of a refused request is not understood")
+		s.guard.config.Logger.Error().Str("key", key).Msg("malformed key of a quarantine entry")
 		return identity, false
 	}
 	return Identity(decoded), true
 }
 
-// wanted saves an entry, unless another node has. The collectors try first, in
-// an order that depends on the identity.
-func (r *record) wanted(entry Entry, now time.Time) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if r.revisions[entry.Identity] != 0 && entry.Times <= 1 {
+// save schedules the write of an entry, unless another node has saved it. The collectors try
+// first, in an order that depends on the identity.
+func (s *entryStore) save(entry Entry, now time.Time) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.revisions[entry.Identity] != 0 && entry.Times <= 1 {
 		return
 	}
-	r.open[entry.Identity] = &openWrite{entry: entry, nextTry: now.Add(r.delay(entry.Identity))}
+	s.pending[entry.Identity] = &pendingWrite{entry: entry, nextTry: now.Add(s.delay(entry.Identity))}
 }
 
-// delay of this node's first try, by its rank among the collectors.
-func (r *record) delay(identity Identity) time.Duration {
+// delay is the time before this node's first try, by its rank among the collectors.
+func (s *entryStore) delay(identity Identity) time.Duration {
 	rank := 0
-	own := rendezvous(r.guard.config.Address, identity)
-	collectors := r.guard.config.Collectors()
+	own := rendezvousWeight(s.guard.config.Address, identity)
+	collectors := s.guard.config.Collectors()
 	for _, address := range collectors {
-		if address != r.guard.config.Address && rendezvous(address, identity) > own {
+		if address != s.guard.config.Address && rendezvousWeight(address, identity) > own {
 			rank++
 		}
 	}
-	if !slices.Contains(collectors, r.guard.config.Address) {
+	if !slices.Contains(collectors, s.guard.config.Address) {
 		rank = len(collectors)
 	}
-	return time.Duration(rank) * savePause
+	return time.Duration(rank) * saveInterval
 }
 
-// rendezvous is the weight of a node for an identity.
-func rendezvous(address string, identity Identity) uint64 {
+// rendezvousWeight is the weight of a node for an identity in rendezvous hashing.
+func rendezvousWeight(address string, identity Identity) uint64 {
 	return xxhash.Sum64String(address + " " + string(identity[:]))
 }
 
-// remove takes an entry out of the store, from the time on.
-func (r *record) remove(identity Identity, from time.Time) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.open[identity] = &openWrite{entry: Entry{Identity: identity}, remove: true, nextTry: from}
+// remove schedules the deletion of an entry's key, not before the given time.
+func (s *entryStore) remove(identity Identity, from time.Time) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.pending[identity] = &pendingWrite{entry: Entry{Identity: identity}, remove: true, nextTry: from}
 }
 
-// forget ends what was to be saved of an identity.
-func (r *record) forget(identity Identity) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if write := r.open[identity]; write != nil && !write.remove {
-		delete(r.open, identity)
+// cancelSave drops a pending save of an identity.
+func (s *entryStore) cancelSave(identity Identity) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if write := s.pending[identity]; write != nil && !write.remove {
+		delete(s.pending, identity)
 	}
 }
 
-// tick makes the writes that are due.
-func (r *record) tick(now time.Time) {
-	r.mutex.Lock()
-	var due []*openWrite
-	for identity, write := range r.open {
-		revision := r.revisions[identity]
+// tick starts the writes that are due.
+func (s *entryStore) tick(now time.Time) {
+	s.mutex.Lock()
+	var due []*pendingWrite
+	for identity, write := range s.pending {
+		revision := s.revisions[identity]
 		if write.remove && revision == 0 || !write.remove && !now.Before(write.entry.Until) {
-			delete(r.open, identity)
+			delete(s.pending, identity)
 			continue
 		}
 		if !write.writing && !now.Before(write.nextTry) {
@@ -136,71 +136,71 @@
 			due = append(due, write)
 		}
 	}
-	r.mutex.Unlock()
+	s.mutex.Unlock()
 	for _, write := range due {
-		r.write(write, now)
+		s.write(write, now)
 	}
 }
 
-func (r *record) write(write *openWrite, now time.Time) {
+func (s *entryStore) write(write *pendingWrite, now time.Time) {
 	identity := write.entry.Identity
-	key := r.key(identity)
+	key := s.key(identity)
 	operation := outside.Operation{Kind: outside.OperationDelete, Key: key}
 	if !write.remove {
-		operation = outside.Operation{Kind: outside.OperationPut, Key: key, Value: r.encode(write.entry, now)}
+		operation = outside.Operation{Kind: outside.OperationPut, Key: key, Value: s.encode(write.entry, now)}
 	}
-	r.mutex.Lock()
-	revision := r.revisions[identity]
-	r.mutex.Unlock()
-	r.guard.config.Store.Transact(outside.Transaction{
+	s.mutex.Lock()
+	revision := s.revisions[identity]
+	s.mutex.Unlock()
+	s.guard.config.Store.Transact(outside.Transaction{
 		Compares: []outside.Compare{{Key: key, ModRevision: revision}}, Operations: []outside.Operation{operation},
-	}, storeTimeout, func(reply outside.TransactionResult, err error) { r.written(write, reply, err) })
+	}, storeTimeout, func(reply outside.TransactionResult, err error) { s.written(write, reply, err) })
 }
 
-func (r *record) encode(entry Entry, now time.Time) []byte {
-	day := time.Now()
+func (s *entryStore) encode(entry Entry, now time.Time) []byte {
+	wallTime := time.Now()
 	value, err := json.Marshal(savedEntry{
 		Times: entry.Times, Servers: entry.Servers,
-		SinceMillis: day.Add(entry.Since.Sub(now)).UnixMilli(), UntilMillis: day.Add(entry.Until.Sub(now)).UnixMilli(),
+		SinceMillis: wallTime.Add(entry.Since.Sub(now)).UnixMilli(), UntilMillis: wallTime.Add(entry.Until.Sub(now)).UnixMilli(),
 	})
 	if err != nil {
-		r.guard.config.Logger.Error().Err(err).Msg("entry of a refused request is not written")
+		s.guard.config.Logger.Error().Err(err).Msg("quarantine entry could not be encoded")
 	}
 	return value
 }
 
-// written notes how a write ended. One that met another revision has nothing to do, if
-// another node saved the entry, or is made again with the revision that was found.
-func (r *record) written(write *openWrite, reply outside.TransactionResult, err error) {
+// written handles the result of a write. After a revision conflict, the write is complete if
+// another node has saved or deleted the entry; otherwise it is retried with the revision found.
+func (s *entryStore) written(write *pendingWrite, reply outside.TransactionResult, err error) {
 	identity := write.entry.Identity
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	write.writing, write.nextTry = false, time.Now().Add(savePause)
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	write.writing, write.nextTry = false, time.Now().Add(saveInterval)
 	if err != nil {
-		r.guard.config.Logger.Warn().Err(err).Str("identity", identity.String()).Bool("remove", write.remove).Msg("refused request not saved yet")
+		s.guard.config.Logger.Warn().Err(err).Str("identity", identity.String()).Bool("remove", write.remove).Msg("refused request not saved yet")
 		return
 	}
 	if reply.Succeeded {
 		if write.remove {
-			delete(r.revisions, identity)
+			delete(s.revisions, identity)
 		} else {
-			r.revisions[identity] = max(r.revisions[identity], reply.Revision)
+			s.revisions[identity] = max(s.revisions[identity], reply.Revision)
 		}
-		r.done(identity, write)
+		s.finish(identity, write)
 		return
 	}
-	delete(r.revisions, identity)
+	delete(s.revisions, identity)
 	for _, current := range reply.Current {
-		r.revisions[identity] = current.ModRevision
+		s.revisions[identity] = current.ModRevision
 	}
-	if saved := r.revisions[identity] != 0; saved != write.remove {
-		r.done(identity, write)
+	if saved := s.revisions[identity] != 0; saved != write.remove {
+		s.finish(identity, write)
 	}
 }
 
-// done must be called with the lock held.
-func (r *record) done(identity Identity, write *openWrite) {
-	if r.open[identity] == write {
-		delete(r.open, identity)
+// finish drops a write that is complete. The caller must hold the lock.
+func (s *entryStore) finish(identity Identity, write *pendingWrite) {
+	if s.pending[identity] == write {
+		delete(s.pending, identity)
 	}
 }
--- a/internal/poison/record_follow.go
+++ b/internal/poison/record_follow.go
@@ -7,93 +7,94 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// replace takes over all keys that exist.
-func (r *record) replace(keyValues []outside.KeyValue) {
-	for identity := range r.takeAll(keyValues) {
-		r.removed(identity)
+// replace applies a complete read of the keys: identities whose keys were deleted are released.
+func (s *entryStore) replace(keyValues []outside.KeyValue) {
+	for identity := range s.loadAll(keyValues) {
+		s.keyRemoved(identity)
 	}
 }
 
-// restored takes over all keys that exist after a restore of the store, and saves what it lost.
-func (r *record) restored(keyValues []outside.KeyValue) {
+// restored applies a complete read of the keys after a restore of the store, and saves the
+// entries that the restore lost.
+func (s *entryStore) restored(keyValues []outside.KeyValue) {
 	now := time.Now()
-	for identity := range r.takeAll(keyValues) {
-		if entry, held := r.guard.quarantine.Held(identity, now); held {
-			r.wanted(entry, now)
+	for identity := range s.loadAll(keyValues) {
+		if entry, quarantined := s.guard.quarantine.Lookup(identity, now); quarantined {
+			s.save(entry, now)
 		}
 	}
 }
 
-// takeAll takes over all keys that exist. It returns the identities of which keys were known
-// that do not.
-func (r *record) takeAll(keyValues []outside.KeyValue) (missing map[Identity]int64) {
-	r.mutex.Lock()
-	missing = r.revisions
-	r.revisions = map[Identity]int64{}
-	r.mutex.Unlock()
+// loadAll loads all existing keys. It returns the identities that had a key before and have
+// none now.
+func (s *entryStore) loadAll(keyValues []outside.KeyValue) (missing map[Identity]int64) {
+	s.mutex.Lock()
+	missing = s.revisions
+	s.revisions = map[Identity]int64{}
+	s.mutex.Unlock()
 	for _, keyValue := range keyValues {
-		if identity, is := r.identityOf(keyValue.Key); is {
+		if identity, ok := s.identityOf(keyValue.Key); ok {
 			delete(missing, identity)
-			r.take(identity, keyValue)
+			s.load(identity, keyValue)
 		}
 	}
 	return missing
 }
 
-// change takes over one key.
-func (r *record) change(event outside.WatchEvent) {
-	identity, is := r.identityOf(event.KeyValue.Key)
-	if !is {
+// change applies one written or deleted key.
+func (s *entryStore) change(event outside.WatchEvent) {
+	identity, ok := s.identityOf(event.KeyValue.Key)
+	if !ok {
 		return
 	}
 	if event.Deleted {
-		r.mutex.Lock()
-		delete(r.revisions, identity)
-		r.mutex.Unlock()
-		r.removed(identity)
+		s.mutex.Lock()
+		delete(s.revisions, identity)
+		s.mutex.Unlock()
+		s.keyRemoved(identity)
 		return
 	}
-	r.take(identity, event.KeyValue)
+	s.load(identity, event.KeyValue)
 }
 
-// take takes an entry over, or removes it if its time is over.
-func (r *record) take(identity Identity, keyValue outside.KeyValue) {
+// load applies a saved entry, or deletes its key if the entry has expired.
+func (s *entryStore) load(identity Identity, keyValue outside.KeyValue) {
 	var saved savedEntry
 	if err := json.Unmarshal(keyValue.Value, &saved); err != nil {
-		r.guard.config.Logger.Error().Err(err).Str("key", keyValue.Key).Msg("entry of a refused request is not understood")
+		s.guard.config.Logger.Error().Err(err).Str("key", keyValue.Key).Msg("malformed quarantine entry in the store")
 		return
 	}
-	r.mutex.Lock()
-	r.revisions[identity] = max(r.revisions[identity], keyValue.ModRevision)
-	if write := r.open[identity]; write != nil && !write.remove && write.entry.Times <= saved.Times {
-		delete(r.open, identity)
+	s.mutex.Lock()
+	s.revisions[identity] = max(s.revisions[identity], keyValue.ModRevision)
+	if write := s.pending[identity]; write != nil && !write.remove && write.entry.Times <= saved.Times {
+		delete(s.pending, identity)
 	}
-	r.mutex.Unlock()
+	s.mutex.Unlock()
 	now := time.Now()
 	entry := Quarantined{
 		Identity: identity, Times: saved.Times, Servers: saved.Servers,
 		Age: now.Sub(time.UnixMilli(saved.SinceMillis)), Remaining: time.UnixMilli(saved.UntilMillis).Sub(now),
 	}.entry(now)
 	if !now.Before(entry.Until) {
-		r.remove(identity, now.Add(r.delay(identity)))
+		s.remove(identity, now.Add(s.delay(identity)))
 		return
 	}
-	if released, contradicted := r.guard.contradict(entry); contradicted {
-		r.guard.broadcast(released, true)
-		r.remove(identity, now)
+	if released, served := s.guard.releaseIfServed(entry); served {
+		s.guard.broadcast(released, true)
+		s.remove(identity, now)
 		return
 	}
-	// What is saved has been sent to all nodes before.
-	r.guard.hold(entry, "store", 0)
+	// A saved entry was sent to all nodes before, so it needs no objection window.
+	s.guard.applyEntry(entry, "store", 0)
 }
 
-// removed lets an identity go whose key was removed: by a node whose server has served
-// it, or by an operator.
-func (r *record) removed(identity Identity) {
-	entry, held := r.guard.quarantine.Held(identity, time.Now())
-	if !held || time.Until(entry.Until) < clockTolerance {
-		// Its time is over by another node's clock.
+// keyRemoved releases an identity whose key was deleted: by a node that knows of a server that
+// has served it, or by an operator.
+func (s *entryStore) keyRemoved(identity Identity) {
+	entry, quarantined := s.guard.quarantine.Lookup(identity, time.Now())
+	if !quarantined || time.Until(entry.Until) < maxClockSkew {
+		// Another node deleted it because it has expired by that node's clock.
 		return
 	}
-	r.guard.release(identity, "removed from the store")
+	s.guard.release(identity, "removed from the store")
 }
--- a/internal/poison/served.go
+++ b/internal/poison/served.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// mostServed identities are remembered: half a minute of a node's requests where nodes
-// serve most (60 a second), about 100 KB.
-const mostServed = 2048
+// maxServed is the number of identities kept: half a minute of requests at the busiest nodes
+// (60 a second), about 100 KB.
+const maxServed = 2048
 
-// served remembers which identities servers have served lately, and when they began.
+// served keeps the identities that servers have served recently, with the start of the last
+// served run.
 type served struct {
 	mutex sync.Mutex
 	began map[Identity]time.Time
-	// order in which they came; the oldest one stands at next.
-	order [mostServed]Identity
+	// order is a ring buffer of the identities in order of arrival; the oldest is at next.
+	order [maxServed]Identity
 	next  int
 }
 
@@ -31,11 +32,11 @@
 	}
 	delete(s.began, s.order[s.next])
 	s.order[s.next], s.began[identity] = identity, began
-	s.next = (s.next + 1) % mostServed
+	s.next = (s.next + 1) % maxServed
 }
 
-// of returns those of the identities that were served.
-func (s *served) of(identities []Identity) []Identity {
+// among returns those of the identities that were served.
+func (s *served) among(identities []Identity) []Identity {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var found []Identity
@@ -47,8 +48,8 @@
 	return found
 }
 
-// last returns when a server began with what it served of the identity last.
-func (s *served) last(identity Identity) (began time.Time, known bool) {
+// lastBegan returns the start of the last run of the identity that was served.
+func (s *served) lastBegan(identity Identity) (began time.Time, known bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	began, known = s.began[identity]
--- a/internal/poison/shared_ends.go
+++ b/internal/poison/shared_ends.go
@@ -11,87 +11,87 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// sharedEnds is this node's key in the store with the ends that some collector has not
-// answered a report of. Where nodes that reach the store don't reach each other, each
-// part would count its own ends only, and a request could end servers in both.
-type sharedEnds struct {
+// sharedCrashes is this node's key in the store with the crashes whose report some collector
+// has not answered. Where nodes reach the store but not each other, each partition would
+// otherwise count only its own crashes, and a request could crash servers in both.
+type sharedCrashes struct {
 	guard *Guard
 
 	mutex sync.Mutex
-	// ends that the key shall hold, by server.
-	ends  map[string]timedEnd
-	dirty bool
-	// revision of the key, as far as known.
+	// crashes that the key shall contain, by server.
+	crashes map[string]timedCrash
+	dirty   bool
+	// revision of the key, as last observed.
 	revision int64
 	writing  bool
 	nextTry  time.Time
 }
 
-// savedEnds is the value of a node's key, with the time of day at which it was written.
-type savedEnds struct {
-	AtMillis int64       `json:"at_ms"`
-	Ends     []ServerEnd `json:"ends"`
+// savedCrashes is the value of a node's key, with the wall-clock time at which it was written.
+type savedCrashes struct {
+	AtMillis int64   `json:"at_ms"`
+	Crashes  []Crash `json:"ends"`
 }
 
-func newSharedEnds(guard *Guard) *sharedEnds {
-	return &sharedEnds{guard: guard, ends: map[string]timedEnd{}}
+func newSharedCrashes(guard *Guard) *sharedCrashes {
+	return &sharedCrashes{guard: guard, crashes: map[string]timedCrash{}}
 }
 
-func (s *sharedEnds) key() string { return s.guard.config.CrashesPrefix + s.guard.config.Address }
+func (s *sharedCrashes) key() string { return s.guard.config.CrashesPrefix + s.guard.config.Address }
 
-// add shares ends by way of the store.
-func (s *sharedEnds) add(ends []timedEnd, now time.Time) {
+// add shares crashes through the store.
+func (s *sharedCrashes) add(crashes []timedCrash, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for server, shared := range s.ends {
-		if now.Sub(shared.at) > endMemory {
-			delete(s.ends, server)
+	for server, shared := range s.crashes {
+		if now.Sub(shared.at) > crashRetention {
+			delete(s.crashes, server)
 		}
 	}
-	for _, end := range ends {
-		if _, shared := s.ends[end.server]; !shared {
-			s.ends[end.server] = end
+	for _, crash := range crashes {
+		if _, shared := s.crashes[crash.server]; !shared {
+			s.crashes[crash.server] = crash
 			s.dirty = true
 		}
 	}
-	for len(s.ends) > mostShared {
-		dropEarliest(s.ends, func(end timedEnd) time.Time { return end.at })
+	for len(s.crashes) > maxSharedCrashes {
+		dropEarliest(s.crashes, func(crash timedCrash) time.Time { return crash.at })
 	}
 }
 
-// clear takes an identity out of all ends that are shared: else nodes that start again
-// would suspect it, and none would remember that it was served.
-func (s *sharedEnds) clear(identity Identity) {
+// clear removes an identity from all shared crashes: otherwise nodes that restart would suspect
+// it, without remembering that it was served.
+func (s *sharedCrashes) clear(identity Identity) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for server, end := range s.ends {
+	for server, crash := range s.crashes {
 		isCleared := func(suspect suspect) bool { return suspect.identity == identity }
-		if !slices.ContainsFunc(end.suspects, isCleared) {
+		if !slices.ContainsFunc(crash.suspects, isCleared) {
 			continue
 		}
-		end.suspects = slices.DeleteFunc(slices.Clone(end.suspects), isCleared)
-		s.ends[server] = end
+		crash.suspects = slices.DeleteFunc(slices.Clone(crash.suspects), isCleared)
+		s.crashes[server] = crash
 		s.dirty = true
 	}
 }
 
-// mostShared ends are kept in a node's key, of up to mostSuspects identities each.
-const mostShared = 32
+// maxSharedCrashes are kept in a node's key, with up to maxSuspects identities each.
+const maxSharedCrashes = 32
 
-// tick writes the key if it does not hold all that it should.
-func (s *sharedEnds) tick(now time.Time) {
+// tick writes the key if its content has changed.
+func (s *sharedCrashes) tick(now time.Time) {
 	s.mutex.Lock()
 	if !s.dirty || s.writing || now.Before(s.nextTry) {
 		s.mutex.Unlock()
 		return
 	}
 	s.dirty, s.writing = false, true
-	saved := savedEnds{AtMillis: now.UnixMilli(), Ends: aged(slices.Collect(maps.Values(s.ends)), now)}
+	saved := savedCrashes{AtMillis: now.UnixMilli(), Crashes: withAges(slices.Collect(maps.Values(s.crashes)), now)}
 	revision := s.revision
 	s.mutex.Unlock()
 	value, err := json.Marshal(saved)
 	if err != nil {
-		s.guard.config.Logger.Error().Err(err).Msg("ends of servers are not written")
+		s.guard.config.Logger.Error().Err(err).Msg("shared crashes could not be encoded")
 		return
 	}
 	s.guard.config.Store.Transact(outside.Transaction{
@@ -100,12 +100,12 @@
 	}, storeTimeout, func(reply outside.TransactionResult, err error) { s.written(reply, err, now) })
 }
 
-// written notes how a write ended. One that met another revision, which this node's
-// process before left there, is made again.
-func (s *sharedEnds) written(reply outside.TransactionResult, err error, began time.Time) {
+// written handles the result of a write. After a conflict with the revision that an earlier
+// process of this node left there, the write is retried.
+func (s *sharedCrashes) written(reply outside.TransactionResult, err error, began time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.writing, s.nextTry = false, began.Add(savePause)
+	s.writing, s.nextTry = false, began.Add(saveInterval)
 	switch {
 	case err != nil:
 		s.dirty = true
@@ -120,37 +120,38 @@
 	}
 }
 
-// restored takes over all keys that exist after a restore of the store, and writes this
-// node's own again.
-func (s *sharedEnds) restored(keyValues []outside.KeyValue) {
+// restored applies a complete read of the keys after a restore of the store, and writes this
+// node's own key again.
+func (s *sharedCrashes) restored(keyValues []outside.KeyValue) {
 	s.mutex.Lock()
-	s.revision, s.dirty = 0, len(s.ends) > 0
+	s.revision, s.dirty = 0, len(s.crashes) > 0
 	s.mutex.Unlock()
 	for _, keyValue := range keyValues {
-		s.take(keyValue)
+		s.load(keyValue)
 	}
 }
 
-// take counts the ends of another node's key.
-func (s *sharedEnds) take(keyValue outside.KeyValue) {
-	address, is := strings.CutPrefix(keyValue.Key, s.guard.config.CrashesPrefix)
-	if !is {
+// load counts the crashes in a node's key.
+func (s *sharedCrashes) load(keyValue outside.KeyValue) {
+	address, ok := strings.CutPrefix(keyValue.Key, s.guard.config.CrashesPrefix)
+	if !ok {
 		return
 	}
 	if address == s.guard.config.Address {
 		s.mutex.Lock()
 		s.revision = max(s.revision, keyValue.ModRevision)
 		s.mutex.Unlock()
-		// A process that started again counts what the one before saw.
+		// Its own key is loaded as well: a restarted process counts what the earlier one
+		// observed.
 	}
-	var saved savedEnds
+	var saved savedCrashes
 	if err := json.Unmarshal(keyValue.Value, &saved); err != nil {
-		s.guard.config.Logger.Error().Err(err).Str("key", keyValue.Key).Msg("ends of servers are not understood")
+		s.guard.config.Logger.Error().Err(err).Str("key", keyValue.Key).Msg("malformed shared crashes in the store")
 		return
 	}
 	since := max(time.Since(time.UnixMilli(saved.AtMillis)), 0)
-	for i := range saved.Ends {
-		saved.Ends[i].Age += since
+	for i := range saved.Crashes {
+		saved.Crashes[i].Age += since
 	}
-	s.guard.take(saved.Ends)
+	s.guard.recordCrashes(saved.Crashes)
 }
--- a/internal/poison/spread.go
+++ b/internal/poison/spread.go
@@ -7,68 +7,68 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// mostSentEntries entries are sent with the answer to a report.
-const mostSentEntries = 32
+// maxSentEntries limits the entries in the reply to a report.
+const maxSentEntries = 32
 
-// report gathers ends for a moment and sends them to the collectors.
-func (g *Guard) report(end timedEnd) {
+// queueCrash adds a crash to the next report to the collectors.
+func (g *Guard) queueCrash(crash timedCrash) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.gathered = append(g.gathered, end)
-	if len(g.gathered) == 1 {
-		time.AfterFunc(reportPause, g.sendGathered)
+	g.pending = append(g.pending, crash)
+	if len(g.pending) == 1 {
+		time.AfterFunc(reportBatchDelay, g.sendPending)
 	}
 }
 
-func (g *Guard) sendGathered() {
+func (g *Guard) sendPending() {
 	now := time.Now()
 	g.mutex.Lock()
-	ends := g.gathered
-	g.gathered = nil
+	crashes := g.pending
+	g.pending = nil
 	collectors := g.config.Collectors()
 	for _, collector := range collectors {
 		if collector != g.config.Address {
-			g.unanswered = append(g.unanswered, &unanswered{collector: collector, ends: ends, since: now})
+			g.unacknowledged = append(g.unacknowledged, &unacknowledgedReport{collector: collector, crashes: crashes, since: now})
 		}
 	}
 	g.mutex.Unlock()
 	if len(collectors) == 0 {
-		g.shared.add(ends, now)
+		g.shared.add(crashes, now)
 	}
-	g.sendUnanswered(now)
-	g.take(aged(ends, now))
+	g.sendReports(now)
+	g.recordCrashes(withAges(crashes, now))
 }
 
-// sendUnanswered sends the reports that have no answer yet, for a while.
-func (g *Guard) sendUnanswered(now time.Time) {
+// sendReports sends the unacknowledged reports, until reportRetryWindow has passed.
+func (g *Guard) sendReports(now time.Time) {
 	g.mutex.Lock()
-	var kept, due []*unanswered
-	for _, report := range g.unanswered {
-		if now.Sub(report.since) > reportMemory {
+	var kept, due []*unacknowledgedReport
+	for _, report := range g.unacknowledged {
+		if now.Sub(report.since) > reportRetryWindow {
 			continue
 		}
 		kept = append(kept, report)
-		if now.Sub(report.since) >= shareAfter {
-			g.shared.add(report.ends, now)
+		if now.Sub(report.since) >= storeFallbackDelay {
+			g.shared.add(report.crashes, now)
 		}
 		if !report.sending {
 			report.sending = true
 			due = append(due, report)
 		}
 	}
-	g.unanswered = kept
+	g.unacknowledged = kept
 	g.mutex.Unlock()
 	for _, report := range due {
-		g.config.Transport.Call(report.collector, Report{Ends: aged(report.ends, now)}, reportTimeout, func(message peer.Message, err error) {
-			g.answered(report, message, err)
+		g.config.Transport.Call(report.collector, Report{Ends: withAges(report.crashes, now)}, reportTimeout, func(message peer.Message, err error) {
+			g.reportAnswered(report, message, err)
 		})
 	}
 }
 
-func (g *Guard) answered(report *unanswered, message peer.Message, err error) {
-	if entries, told := message.(Entries); told && err == nil {
-		for _, held := range entries.Entries {
-			g.receiveEntry(held, report.collector)
+func (g *Guard) reportAnswered(report *unacknowledgedReport, message peer.Message, err error) {
+	if entries, ok := message.(Entries); ok && err == nil {
+		for _, quarantined := range entries.Entries {
+			g.receiveEntry(quarantined, report.collector)
 		}
 	}
 	g.mutex.Lock()
@@ -78,63 +78,64 @@
 		g.config.Logger.Debug().Str("node", report.collector).Err(err).Msg("report of ended servers not answered")
 		return
 	}
-	for i, open := range g.unanswered {
-		if open == report {
-			g.unanswered = append(g.unanswered[:i:i], g.unanswered[i+1:]...)
+	for i, other := range g.unacknowledged {
+		if other == report {
+			g.unacknowledged = append(g.unacknowledged[:i:i], g.unacknowledged[i+1:]...)
 			return
 		}
 	}
 }
 
 func (g *Guard) serveReport(_ string, message peer.Message, reply func(peer.Message, error)) {
-	g.take(message.(Report).Ends)
+	g.recordCrashes(message.(Report).Ends)
 	reply(g.newestEntries(), nil)
 }
 
-// newestEntries are sent with the answer to a report, so that a node which reports and
-// was not reached by an entry receives it.
+// newestEntries are the reply to a report, so that a reporting node that missed an entry
+// receives it.
 func (g *Guard) newestEntries() Entries {
 	entries := g.Entries()
 	slices.SortFunc(entries, func(a, b Entry) int { return b.Until.Compare(a.Until) })
 	var newest Entries
-	for _, entry := range entries[:min(len(entries), mostSentEntries)] {
+	for _, entry := range entries[:min(len(entries), maxSentEntries)] {
 		newest.Entries = append(newest.Entries, entry.message(time.Now()))
 	}
 	return newest
 }
 
-// take notes ends, reports to the other collectors what this node has served of their suspects,
-// and decides after a pause in which other nodes report as well.
-func (g *Guard) take(ends []ServerEnd) {
+// recordCrashes counts crashes, reports to the other collectors which of their suspects this
+// node has served, and schedules the decision after a delay in which other nodes report as
+// well.
+func (g *Guard) recordCrashes(crashes []Crash) {
 	now := time.Now()
-	g.ledger.Add(ends, now)
-	if served := g.endsWithServed(ends); len(served) > 0 {
-		g.ledger.Add(served, now)
+	g.crashes.Add(crashes, now)
+	if served := g.crashesWithServed(crashes); len(served) > 0 {
+		g.crashes.Add(served, now)
 		g.sendToCollectors(Report{Ends: served})
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if !g.deciding {
-		g.deciding = true
-		time.AfterFunc(settlePause, g.decide)
+	if !g.decisionScheduled {
+		g.decisionScheduled = true
+		time.AfterFunc(decisionDelay, g.decide)
 	}
 }
 
-// endsWithServed returns the ends of whose suspects this node has seen some served that the
-// reporting node has not, with these alone: a node that had nothing under way at a server
-// reports nothing of its own.
-func (g *Guard) endsWithServed(ends []ServerEnd) []ServerEnd {
-	var found []ServerEnd
-	for _, end := range ends {
-		isReported := func(identity Identity) bool { return slices.Contains(end.Served, identity) }
-		if served := slices.DeleteFunc(g.served.of(end.Suspects), isReported); len(served) > 0 {
-			found = append(found, ServerEnd{Server: end.Server, Served: served, Age: end.Age})
+// crashesWithServed returns the crashes with only those suspects that this node has seen served
+// and the reporting node has not. It is needed since a node that had nothing running at a
+// server sends no report of its own.
+func (g *Guard) crashesWithServed(crashes []Crash) []Crash {
+	var found []Crash
+	for _, crash := range crashes {
+		isReported := func(identity Identity) bool { return slices.Contains(crash.Served, identity) }
+		if served := slices.DeleteFunc(g.served.among(crash.Suspects), isReported); len(served) > 0 {
+			found = append(found, Crash{Server: crash.Server, Served: served, Age: crash.Age})
 		}
 	}
 	return found
 }
 
-// sendToCollectors sends a report to the other collectors, which need not answer.
+// sendToCollectors sends a report to the other collectors, without waiting for replies.
 func (g *Guard) sendToCollectors(report Report) {
 	for _, collector := range g.otherCollectors() {
 		g.config.Transport.Send(collector, report)
@@ -148,49 +149,49 @@
 
 func (g *Guard) decide() {
 	g.mutex.Lock()
-	g.deciding = false
+	g.decisionScheduled = false
 	g.mutex.Unlock()
 	now := time.Now()
-	entries, explained := g.ledger.Decide(g.quarantine.heldAt(now), now)
+	entries, explained := g.crashes.Decide(g.quarantine.quarantinedAt(now), now)
 	for _, entry := range entries {
-		if _, contradicted := g.contradict(entry); contradicted {
+		if _, served := g.releaseIfServed(entry); served {
 			continue
 		}
-		if g.hold(entry, "own count", objectionTime) {
+		if g.applyEntry(entry, "own count", objectionWindow) {
 			g.broadcast(entry.message(time.Now()), true)
-			g.save(entry)
+			g.saveEntry(entry)
 		}
 	}
 	for _, identity := range explained {
-		g.release(identity, "another request explains its ends")
+		g.release(identity, "another request explains its crashes")
 		g.broadcast(Released{Identity: identity, Explained: true}, true)
-		g.record.remove(identity, now)
+		g.entryStore.remove(identity, now)
 	}
 }
 
-// confirm holds for good what is held provisionally, once servers have served all its rivals
-// since: none of these explains the ends.
+// confirm makes provisional entries final once servers have served all their rivals since the
+// first crash: then no rival explains the crashes.
 func (g *Guard) confirm(now time.Time) {
 	for _, entry := range g.Entries() {
 		if !entry.provisional() || slices.ContainsFunc(entry.Rivals, func(rival Identity) bool { return !g.servedSince(rival, entry.Since) }) {
 			continue
 		}
 		confirmed := entry.confirmed(now)
-		if g.hold(confirmed, "its rivals were served", 0) {
+		if g.applyEntry(confirmed, "its rivals were served", 0) {
 			g.broadcast(confirmed.message(now), true)
-			g.save(confirmed)
+			g.saveEntry(confirmed)
 		}
 	}
 }
 
 func (g *Guard) servedSince(identity Identity, since time.Time) bool {
-	began, known := g.served.last(identity)
+	began, known := g.served.lastBegan(identity)
 	return known && began.After(since)
 }
 
-// clearRival reports to the collectors that a rival of what is held provisionally was served:
-// the other rivals may be served at other nodes.
-func (g *Guard) clearRival(identity Identity, began time.Time) {
+// reportRivalServed reports to the collectors that a rival of a provisional entry was served:
+// its other rivals may be served at other nodes.
+func (g *Guard) reportRivalServed(identity Identity, began time.Time) {
 	if !g.quarantine.hasRival(identity, began) {
 		return
 	}
@@ -199,51 +200,52 @@
 	}
 }
 
-// save keeps an entry for nodes that start later, unless it is over before they have.
-func (g *Guard) save(entry Entry) {
+// saveEntry saves an entry for nodes that start later. Provisional ones would expire before
+// that.
+func (g *Guard) saveEntry(entry Entry) {
 	if !entry.provisional() {
-		g.record.wanted(entry, time.Now())
+		g.entryStore.save(entry, time.Now())
 	}
 }
 
-// hold takes an entry over, which others may object to for a time, and reports whether the
-// identity was not held before.
-func (g *Guard) hold(entry Entry, toldBy string, objections time.Duration) bool {
+// applyEntry quarantines an identity, subject to an objection window, and reports whether it
+// was not quarantined before.
+func (g *Guard) applyEntry(entry Entry, source string, window time.Duration) bool {
 	now := time.Now()
-	if !g.quarantine.add(entry, now.Add(objections), now) {
+	if !g.quarantine.add(entry, now.Add(window), now) {
 		return false
 	}
-	g.ledger.Remember(entry)
+	g.crashes.RememberEntry(entry)
 	g.config.Logger.Warn().Str("identity", entry.Identity.Text()).Int("ends", len(entry.Servers)).Strs("servers", entry.Servers).
-		Int("times", entry.Times).Bool("provisional", entry.provisional()).Dur("for_ms", entry.Until.Sub(now)).Str("told_by", toldBy).Msg("request refused by all nodes from now on")
+		Int("times", entry.Times).Bool("provisional", entry.provisional()).Dur("for_ms", entry.Until.Sub(now)).Str("told_by", source).Msg("request refused by all nodes from now on")
 	return true
 }
 
-// contradict reports whether a server has served the identity since the first end of the
-// entry, and what to answer then.
-func (g *Guard) contradict(entry Entry) (Released, bool) {
+// releaseIfServed releases an identity that a server has served since the first crash of the
+// entry. It reports whether that is so, with the message to answer with.
+func (g *Guard) releaseIfServed(entry Entry) (Released, bool) {
 	if !g.servedSince(entry.Identity, entry.Since) {
 		return Released{}, false
 	}
-	began, _ := g.served.last(entry.Identity)
+	began, _ := g.served.lastBegan(entry.Identity)
 	g.release(entry.Identity, "a server has served it since")
 	return Released{Identity: entry.Identity, Age: time.Since(began)}, true
 }
 
-// release lets an identity go, and reports whether it was held.
+// release drops an identity from the quarantine, and reports whether it was quarantined.
 func (g *Guard) release(identity Identity, reason string) bool {
-	g.ledger.Clear(identity)
+	g.crashes.Clear(identity)
 	g.shared.clear(identity)
-	g.record.forget(identity)
-	held := g.quarantine.remove(identity)
-	if held {
+	g.entryStore.cancelSave(identity)
+	quarantined := g.quarantine.remove(identity)
+	if quarantined {
 		g.config.Logger.Warn().Str("identity", identity.Text()).Str("reason", reason).Msg("request released")
 	}
-	return held
+	return quarantined
 }
 
-// broadcast sends a message to the nodes that follow this one, and to the collectors, if it
-// is this node's own or it is one of them: so it arrives where some of them don't reach
+// broadcast sends a message to this node's followers, and also to the collectors if the message
+// originates here or this node is a collector: so it arrives where some collectors don't reach
 // each other, and not every node sends to all of them.
 func (g *Guard) broadcast(message peer.Message, own bool) {
 	reached := map[string]bool{g.config.Address: true}
@@ -264,29 +266,30 @@
 	reply(nil, nil)
 }
 
-// receiveEntry takes over and passes on the entry of another node.
+// receiveEntry applies and forwards the entry of another node.
 func (g *Guard) receiveEntry(received Quarantined, from string) {
 	entry := received.entry(time.Now())
-	if released, contradicted := g.contradict(entry); contradicted {
+	if released, served := g.releaseIfServed(entry); served {
 		g.config.Transport.Send(from, released)
 		return
 	}
-	if g.hold(entry, from, objectionTime) {
+	if g.applyEntry(entry, from, objectionWindow) {
 		g.broadcast(received, false)
-		g.save(entry)
+		g.saveEntry(entry)
 	}
 }
 
-// serveReleased takes over that an identity is harmless, and passes the message on if it was
-// held here. That it was served is kept, so that an entry in flight does not hold it again.
+// serveReleased clears an identity, and forwards the message if the identity was quarantined
+// here. That it was served is recorded, so that an entry in flight does not quarantine it
+// again.
 func (g *Guard) serveReleased(from string, message peer.Message, reply func(peer.Message, error)) {
 	released := message.(Released)
-	reason := "another request explains its ends"
+	reason := "another request explains its crashes"
 	if !released.Explained {
 		reason = "a server has served it since"
 		g.served.add(released.Identity, time.Now().Add(-released.Age))
 	}
-	if g.release(released.Identity, reason+", told by "+from) {
+	if g.release(released.Identity, reason+", reported by "+from) {
 		g.broadcast(released, false)
 	}
 	reply(nil, nil)
--- a/internal/poison/suspects.go
+++ b/internal/poison/suspects.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// suspectMemory is how long an attempt that a server broke may wait for proof that
-	// the server ended: longer than three heartbeats, after which its record goes.
-	suspectMemory = 10 * time.Second
-	// mostBroken servers are remembered.
-	mostBroken = 1024
+	// suspectRetention is how long a broken attempt may wait for proof that its server crashed:
+	// longer than three heartbeats, after which the server's record expires.
+	suspectRetention = 10 * time.Second
+	// maxSuspectedServers are kept.
+	maxSuspectedServers = 1024
 )
 
-// suspects are this node's attempts that servers broke, by server, while it is open
-// whether the servers ended.
+// suspects are this node's attempts that servers broke, by server, until it is known whether
+// the servers crashed.
 type suspects struct {
 	mutex   sync.Mutex
-	servers map[string]*brokenServer
+	servers map[string]*suspectedServer
 }
 
-type brokenServer struct {
-	at      time.Time
+type suspectedServer struct {
+	brokeAt time.Time
 	address string
-	// ended: the server is known to have ended. checked: somebody looks whether it has.
-	ended, checked bool
-	attempts       map[Identity]brokenAttempt
+	// crashed: the server is known to have crashed. probing: a probe is under way.
+	crashed, probing bool
+	attempts         map[Identity]brokenAttempt
 }
 
 // brokenAttempt is when an attempt broke, and how long it had run.
@@ -35,45 +35,45 @@
 	elapsed time.Duration
 }
 
-// suspect was under way at a server that ended, for so long.
+// suspect is an identity that was running at a crashed server, and for how long.
 type suspect struct {
 	identity Identity
 	elapsed  time.Duration
 }
 
-func newSuspects() *suspects { return &suspects{servers: map[string]*brokenServer{}} }
+func newSuspects() *suspects { return &suspects{servers: map[string]*suspectedServer{}} }
 
-// add notes an attempt that the server broke, and when it began. Check: nobody looks yet whether the
-// server has ended. Ended: it is known to have.
-func (s *suspects) add(identity Identity, server, address string, began, now time.Time) (check, ended bool) {
+// add records a broken attempt and when it began. It reports whether the caller shall probe the
+// server, since no probe is under way, and whether the server is known to have crashed.
+func (s *suspects) add(identity Identity, server, address string, began, now time.Time) (probe, crashed bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.forget(now)
+	s.expire(now)
 	broken := s.servers[server]
 	if broken == nil {
-		broken = &brokenServer{address: address, attempts: map[Identity]brokenAttempt{}}
+		broken = &suspectedServer{address: address, attempts: map[Identity]brokenAttempt{}}
 		s.servers[server] = broken
 	}
-	broken.at = now
-	if broken.ended {
+	broken.brokeAt = now
+	if broken.crashed {
 		return false, true
 	}
-	if len(broken.attempts) < mostSuspects {
+	if len(broken.attempts) < maxSuspects {
 		broken.attempts[identity] = brokenAttempt{at: now, elapsed: now.Sub(began)}
 	}
-	check = !broken.checked
-	broken.checked = true
-	return check, false
+	probe = !broken.probing
+	broken.probing = true
+	return probe, false
 }
 
-// lives notes that the server took a connection at a time when a server that had ended
-// before the other time would have been gone. It reports whether attempts broke later,
-// so that the server should be looked at again.
-func (s *suspects) lives(server string, before time.Time) (again bool) {
+// confirmAlive records that the server accepted a connection, late enough that a crash up to
+// the given time would have been seen. It reports whether attempts broke later, so that the
+// server must be probed again.
+func (s *suspects) confirmAlive(server string, before time.Time) (again bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	broken := s.servers[server]
-	if broken == nil || broken.ended {
+	if broken == nil || broken.crashed {
 		return false
 	}
 	for identity, attempt := range broken.attempts {
@@ -88,16 +88,16 @@
 	return true
 }
 
-// end notes that a server ended. It returns, once and in order, what was under way there,
-// and when the first of it broke.
-func (s *suspects) end(server string) (found []suspect, brokeAt time.Time) {
+// confirmCrash records that a server crashed. It returns the identities that were running
+// there, in order, and the time at which the first attempt broke; a second call returns none.
+func (s *suspects) confirmCrash(server string) (found []suspect, brokeAt time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	broken := s.servers[server]
-	if broken == nil || broken.ended {
+	if broken == nil || broken.crashed {
 		return nil, time.Time{}
 	}
-	broken.ended = true
+	broken.crashed = true
 	for identity, attempt := range broken.attempts {
 		found = append(found, suspect{identity: identity, elapsed: attempt.elapsed})
 		if brokeAt.IsZero() || attempt.at.Before(brokeAt) {
@@ -108,29 +108,28 @@
 	return found, brokeAt
 }
 
-// open returns the servers of which it is not known whether they ended, with their
-// addresses.
-func (s *suspects) open(now time.Time) map[string]string {
+// unresolved returns the servers that are not known to have crashed, with their addresses.
+func (s *suspects) unresolved(now time.Time) map[string]string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.forget(now)
+	s.expire(now)
 	found := map[string]string{}
-	for id, broken := range s.servers {
-		if !broken.ended {
-			found[id] = broken.address
+	for id, server := range s.servers {
+		if !server.crashed {
+			found[id] = server.address
 		}
 	}
 	return found
 }
 
-// forget must be called with the lock held.
-func (s *suspects) forget(now time.Time) {
-	for id, broken := range s.servers {
-		if now.Sub(broken.at) > suspectMemory {
+// expire drops old servers, and the oldest beyond the limit. The caller must hold the lock.
+func (s *suspects) expire(now time.Time) {
+	for id, server := range s.servers {
+		if now.Sub(server.brokeAt) > suspectRetention {
 			delete(s.servers, id)
 		}
 	}
-	for len(s.servers) > mostBroken {
-		dropEarliest(s.servers, func(broken *brokenServer) time.Time { return broken.at })
+	for len(s.servers) > maxSuspectedServers {
+		dropEarliest(s.servers, func(broken *suspectedServer) time.Time { return broken.brokeAt })
 	}
 }
--- a/internal/poison/traffic_test.go
+++ b/internal/poison/traffic_test.go
@@ -14,23 +14,24 @@
 	"github.com/hatchplank/hatchplank/internal/fleet"
 )
 
-// traffic plays callers in front of a world: one whose request ends each server that begins
-// to run it, and others whose requests do no harm.
+// traffic simulates callers of a cluster: one whose request crashes each server that runs it,
+// and others whose requests are unrelated.
 type traffic struct {
-	*world
-	// random of the bad request's caller, and of the others, so that a case repeats.
-	random, harmlessRandom *rand.Rand
-	// endsAfter is the time from the start of the bad request to the server's end, give or
-	// take jitter.
-	endsAfter, jitter time.Duration
-	// servers that take requests, by place; a place is filled again after restartTime.
+	*cluster
+	// random is the source for the poison request's caller, unrelatedRandom that for the
+	// others, so that a case is reproducible.
+	random, unrelatedRandom *rand.Rand
+	// crashDelay is the time from the start of the poison request to the crash, plus up to
+	// jitter.
+	crashDelay, jitter time.Duration
+	// servers that accept requests; a crashed one is replaced after restartTime.
 	servers []*runningServer
 	started int
 
 	mutex sync.Mutex
-	// ends counts servers that ended. refusedAt are the times at which harmless requests
-	// were refused.
-	ends      int
+	// crashes counts crashed servers. refusedAt are the times at which unrelated requests were
+	// refused.
+	crashes   int
 	refusedAt []time.Time
 	stopped   bool
 }
@@ -38,28 +39,28 @@
 const (
 	trafficServers = 6
 	restartTime    = 2 * time.Second
-	// badPause and harmlessPause are the times between two tries.
-	badPause, harmlessPause = 397 * time.Millisecond, 251 * time.Millisecond
-	harmlessRun             = 100 * time.Millisecond
-	badTries                = 30
-	trafficTime             = time.Minute
+	// poisonPause and unrelatedPause are the times between two tries.
+	poisonPause, unrelatedPause = 397 * time.Millisecond, 251 * time.Millisecond
+	unrelatedRun                = 100 * time.Millisecond
+	poisonTries                 = 30
+	trafficTime                 = time.Minute
 )
 
 type runningServer struct {
-	server *fleet.Server
-	ended  bool
-	runs   []serverRun
+	server  *fleet.Server
+	crashed bool
+	runs    []serverRun
 }
 
-// serverRun is one request under way at a server, sent by a node.
+// serverRun is one request that a server runs, sent by a node.
 type serverRun struct {
 	node     *node
 	identity Identity
 	began    time.Time
 }
 
-func newTraffic(w *world, seed uint64, endsAfter, jitter time.Duration) *traffic {
-	t := &traffic{world: w, random: rand.New(rand.NewPCG(seed, 1)), harmlessRandom: rand.New(rand.NewPCG(seed, 2)), endsAfter: endsAfter, jitter: jitter}
+func newTraffic(c *cluster, seed uint64, crashDelay, jitter time.Duration) *traffic {
+	t := &traffic{cluster: c, random: rand.New(rand.NewPCG(seed, 1)), unrelatedRandom: rand.New(rand.NewPCG(seed, 2)), crashDelay: crashDelay, jitter: jitter}
 	for range trafficServers {
 		t.servers = append(t.servers, t.newServer())
 	}
@@ -71,21 +72,21 @@
 	return &runningServer{server: t.server(fmt.Sprint("s", t.started))}
 }
 
-// begin notes a request at a server.
+// begin records a request at a server.
 func (t *traffic) begin(server *runningServer, identity Identity, random *rand.Rand) serverRun {
 	run := serverRun{node: t.nodes[random.IntN(len(t.nodes))], identity: identity, began: time.Now()}
 	server.runs = append(server.runs, run)
 	return run
 }
 
-// endServer breaks all that a server runs, and fills its place after a while.
-func (t *traffic) endServer(place int) {
+// crashServer breaks all requests that a server runs, and replaces it after restartTime.
+func (t *traffic) crashServer(place int) {
 	server := t.servers[place]
-	if server.ended {
+	if server.crashed {
 		return
 	}
-	server.ended = true
-	t.ends++
+	server.crashed = true
+	t.crashes++
 	t.refuse(server.server)
 	for _, run := range server.runs {
 		run.node.guard.Broke(context.Background(), run.identity, server.server, run.began)
@@ -97,74 +98,74 @@
 	})
 }
 
-// sendBad sends the request that ends servers, unless the node refuses it. It returns how
-// long its caller waits for the answer.
-func (t *traffic) sendBad(place int, bad Identity) time.Duration {
-	if t.servers[place].ended {
+// sendPoison sends the poison request, unless the node refuses it. It returns how long its
+// caller waits for the answer.
+func (t *traffic) sendPoison(place int, poison Identity) time.Duration {
+	if t.servers[place].crashed {
 		return 0
 	}
-	run := t.begin(t.servers[place], bad, t.random)
-	if _, held := run.node.guard.Held(bad); held {
+	run := t.begin(t.servers[place], poison, t.random)
+	if _, refused := run.node.guard.Held(poison); refused {
 		t.servers[place].runs = t.servers[place].runs[:len(t.servers[place].runs)-1]
 		return 0
 	}
-	left := t.endsAfter + time.Duration(t.random.Int64N(int64(t.jitter)+1))
+	left := t.crashDelay + time.Duration(t.random.Int64N(int64(t.jitter)+1))
 	time.AfterFunc(left, func() {
 		t.mutex.Lock()
 		defer t.mutex.Unlock()
-		t.endServer(place)
+		t.crashServer(place)
 	})
 	return left
 }
 
-// sendHarmless sends a harmless request, which is served if its server lives.
-func (t *traffic) sendHarmless(place int, harmless Identity) {
+// sendUnrelated sends an unrelated request, which is served if its server doesn't crash.
+func (t *traffic) sendUnrelated(place int, unrelated Identity) {
 	server := t.servers[place]
-	if server.ended {
+	if server.crashed {
 		return
 	}
-	run := t.begin(server, harmless, t.harmlessRandom)
-	if _, held := run.node.guard.Held(harmless); held {
+	run := t.begin(server, unrelated, t.unrelatedRandom)
+	if _, refused := run.node.guard.Held(unrelated); refused {
 		t.refusedAt = append(t.refusedAt, time.Now())
 		server.runs = server.runs[:len(server.runs)-1]
 		return
 	}
-	time.AfterFunc(harmlessRun, func() {
+	time.AfterFunc(unrelatedRun, func() {
 		t.mutex.Lock()
 		defer t.mutex.Unlock()
-		if !server.ended {
+		if !server.crashed {
 			server.runs = slices.DeleteFunc(server.runs, func(other serverRun) bool { return other == run })
-			run.node.guard.Served(harmless, run.began)
+			run.node.guard.Served(unrelated, run.began)
 		}
 	})
 }
 
-// meet ends three servers under the bad request while the harmless one runs there, each
-// time since a random while before.
-func (t *traffic) meet(bad, harmless Identity) {
-	for place := range endsToHold {
+// collide crashes three servers under the poison request while the unrelated one runs there,
+// each time for a random time already.
+func (t *traffic) collide(poison, unrelated Identity) {
+	for place := range crashThreshold {
 		t.mutex.Lock()
-		t.begin(t.servers[place], harmless, t.harmlessRandom)
+		t.begin(t.servers[place], unrelated, t.unrelatedRandom)
 		before := time.Duration(t.random.Int64N(int64(time.Second)))
 		t.mutex.Unlock()
 		time.Sleep(before)
 		t.mutex.Lock()
-		left := t.sendBad(place, bad)
+		left := t.sendPoison(place, poison)
 		t.mutex.Unlock()
-		time.Sleep(left + badPause)
+		time.Sleep(left + poisonPause)
 	}
 }
 
-// play lets the callers of both go on.
-func (t *traffic) play(bad, harmless Identity) {
-	t.every(badPause, badTries, func() (answered time.Duration) {
+// run lets both callers continue.
+func (t *traffic) run(poison, unrelated Identity) {
+	t.every(poisonPause, poisonTries, func() (answered time.Duration) {
 		for range 1 + t.random.IntN(2) {
-			answered = max(answered, t.sendBad(t.random.IntN(trafficServers), bad))
+			answered = max(answered, t.sendPoison(t.random.IntN(trafficServers), poison))
 		}
 		return answered
 	})
-	t.every(harmlessPause, int(trafficTime/harmlessPause), func() time.Duration {
-		t.sendHarmless(t.harmlessRandom.IntN(trafficServers), harmless)
+	t.every(unrelatedPause, int(trafficTime/unrelatedPause), func() time.Duration {
+		t.sendUnrelated(t.unrelatedRandom.IntN(trafficServers), unrelated)
 		return 0
 	})
 	time.Sleep(trafficTime + restartTime)
@@ -173,7 +174,7 @@
 	t.stopped = true
 }
 
-// every sends again a pause after the answer, a number of times.
+// every sends a number of times, each a pause after the previous answer.
 func (t *traffic) every(pause time.Duration, times int, send func() (answered time.Duration)) {
 	go func() {
 		for range times {
@@ -189,7 +190,7 @@
 	}()
 }
 
-// refusedFor is the time from the first to the last refusal of a harmless request.
+// refusedFor is the time from the first to the last refusal of an unrelated request.
 func (t *traffic) refusedFor() time.Duration {
 	if len(t.refusedAt) == 0 {
 		return 0
@@ -198,62 +199,63 @@
 }
 
 const (
-	// longestRefusal of a harmless request: until the bad one has run once more.
-	longestRefusal = 6 * time.Second
-	// mostFurtherEnds after the third end.
-	mostFurtherEnds = 3
-	meetings        = 25
+	// maxRefusal bounds the refusal of an unrelated request: until the poison request has run
+	// once more.
+	maxRefusal = 6 * time.Second
+	// maxFurtherCrashes bounds the crashes after the third.
+	maxFurtherCrashes = 3
+	collisions        = 25
 )
 
 // serveAndForget has all nodes serve a request, and then as many others as they remember.
-func (w *world) serveAndForget(identity Identity) {
-	for _, n := range w.nodes {
+func (c *cluster) serveAndForget(identity Identity) {
+	for _, n := range c.nodes {
 		n.guard.Served(identity, time.Now())
-		for _, other := range numbered(1000, 1000+mostServed) {
+		for _, other := range numbered(1000, 1000+maxServed) {
 			n.guard.Served(other, time.Now())
 		}
 	}
 	time.Sleep(time.Minute)
 }
 
-// Guards against a harmless request that is refused for minutes: it met one that ends servers
-// at just the same three servers, and no node has seen it served, since all have started again
-// or have served many others.
-func TestHarmlessRequestAtTheSameEndsIsServedSoon(t *testing.T) {
+// Guards against an unrelated request that is refused for minutes: it ran at the same three
+// crashes as a poison request, and no node remembers that it was served, since all have
+// restarted or have served many others.
+func TestUnrelatedRequestAtTheSameCrashesIsServedSoon(t *testing.T) {
 	cases := map[string]struct {
-		endsAfter, jitter time.Duration
-		// forgotten: the harmless request was served, and many others since.
+		crashDelay, jitter time.Duration
+		// forgotten: the unrelated request was served, and many others since.
 		forgotten bool
 	}{
-		"a server ends at once":          {time.Millisecond, 4 * time.Millisecond, false},
-		"a server ends after a while":    {300 * time.Millisecond, 50 * time.Millisecond, false},
-		"a server ends late":             {2 * time.Second, 200 * time.Millisecond, false},
-		"a server ends at a random time": {0, time.Second, false},
-		"its last time is long past":     {time.Millisecond, 4 * time.Millisecond, true},
+		"a server crashes at once":          {time.Millisecond, 4 * time.Millisecond, false},
+		"a server crashes after a while":    {300 * time.Millisecond, 50 * time.Millisecond, false},
+		"a server crashes late":             {2 * time.Second, 200 * time.Millisecond, false},
+		"a server crashes at a random time": {0, time.Second, false},
+		"it was last served long before":    {time.Millisecond, 4 * time.Millisecond, true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			refusals, refusing, ends := 0, 0, 0
-			for seed := range uint64(meetings) {
-				inWorld(t, 4, 4, func(w *world) {
+			refusals, refusing, crashes := 0, 0, 0
+			for seed := range uint64(collisions) {
+				runInCluster(t, 4, 4, func(c *cluster) {
 					identities := numbered(int(2*seed), int(2*seed+2))
 					if test.forgotten {
-						w.serveAndForget(identities[1])
+						c.serveAndForget(identities[1])
 					}
-					played := newTraffic(w, seed, test.endsAfter, test.jitter)
-					played.meet(identities[0], identities[1])
-					played.play(identities[0], identities[1])
-					refusals += len(played.refusedAt)
-					ends += played.ends - endsToHold
-					if len(played.refusedAt) > 0 {
+					simulated := newTraffic(c, seed, test.crashDelay, test.jitter)
+					simulated.collide(identities[0], identities[1])
+					simulated.run(identities[0], identities[1])
+					refusals += len(simulated.refusedAt)
+					crashes += simulated.crashes - crashThreshold
+					if len(simulated.refusedAt) > 0 {
 						refusing++
 					}
-					Expect(played.refusedFor()).To(BeNumerically("<=", longestRefusal), "seed %d", seed)
-					Expect(played.ends).To(BeNumerically("<=", endsToHold+mostFurtherEnds), "seed %d", seed)
-					Expect(w.held(identities[1])).To(BeZero(), "seed %d", seed)
+					Expect(simulated.refusedFor()).To(BeNumerically("<=", maxRefusal), "seed %d", seed)
+					Expect(simulated.crashes).To(BeNumerically("<=", crashThreshold+maxFurtherCrashes), "seed %d", seed)
+					Expect(c.refusedBy(identities[1])).To(BeZero(), "seed %d", seed)
 				})
 			}
-			t.Logf("%d meetings: %d harmless requests refused in %d of them, %d further servers ended", meetings, refusals, refusing, ends)
+			t.Logf("%d collisions: %d unrelated requests refused in %d of them, %d further servers crashed", collisions, refusals, refusing, crashes)
 		})
 	}
 }
--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -95,7 +95,7 @@
 switch_off limit-refusal-ends internal/forward/limit.go 'if !f.limits.Limited(server) {' 'if false {' ./internal/forward
 switch_off counters-of-most internal/orders/counters.go 'if hearsMost(earlier.Addresses, live) {' 'if true {' ./platform
 switch_off counters-lost internal/orders/counters.go '|| now.Sub(h.countersHeardAt) >= countersLost' '' ./platform
-switch_off poison-vouched internal/poison/spread.go 'if served := g.endsWithServed(ends); len(served) > 0 {' 'if served := g.endsWithServed(ends); len(served) < 0 {' ./internal/poison
+switch_off poison-vouched internal/poison/spread.go 'if served := g.crashesWithServed(crashes); len(served) > 0 {' 'if served := g.crashesWithServed(crashes); len(served) < 0 {' ./internal/poison
 switch_off poison-never-served internal/poison/ledger.go 'len(unseen) > 0 {' 'false && len(unseen) > 0 {' ./internal/poison
 switch_off limit-quorum-wakes internal/ratelimit/ask.go 'if !l.lookAgain(now) {' 'if true {' ./platform ./internal/ratelimit
 switch_off first-loads-at-once internal/orders/ceiling.go 'if !c.learned && loadTime > 0 {' 'if false && !c.learned && loadTime > 0 {' ./internal/orders
@@ -217,23 +217,23 @@
 switch_off planned-ends internal/poison/guard.go 'return listed == nil || listed.Draining' 'return listed == nil && false' $poison
 switch_off servers-that-live internal/poison/suspects.go 'if !attempt.at.After(before) {' 'if false && attempt.at.After(before) {' $poison
 switch_off ends-by-records internal/poison/guard.go 'g.Ended(id, "its record is gone")' '' $poison
-switch_off explained-ends internal/poison/server_end.go 'if held(identity) {
-			return true' 'if held(identity) {
+switch_off explained-ends internal/poison/server_end.go 'if isQuarantined(identity) {
+			return true' 'if isQuarantined(identity) {
 			return false' $poison
 switch_off served-since internal/poison/spread.go 'return known && began.After(since)' 'return false && known && began.After(since)' $poison
-switch_off poison-likeliest internal/poison/ambiguity.go 'cmp.Compare(l.spread(a), l.spread(b))' 'cmp.Compare(l.spread(b), l.spread(a))' $poison
+switch_off poison-likeliest internal/poison/ambiguity.go 'cmp.Compare(l.elapsedRange(a), l.elapsedRange(b))' 'cmp.Compare(l.elapsedRange(b), l.elapsedRange(a))' $poison
 switch_off poison-provisional internal/poison/ledger.go 'if !entry.provisional() {' 'if true {' $poison
 switch_off poison-confirmed internal/poison/guard.go 'g.confirm(now)' '' $poison
-switch_off poison-rivals-served internal/poison/guard.go 'g.clearRival(identity, began)' '' $poison
+switch_off poison-rivals-served internal/poison/guard.go 'g.reportRivalServed(identity, began)' '' $poison
 switch_off poison-explained internal/poison/spread.go 'for _, identity := range explained {' 'for _, identity := range explained[:0] {' $poison
-switch_off poison-settled internal/poison/ledger.go 'end.settled = true' '' $poison
+switch_off poison-settled internal/poison/ledger.go 'crash.settled = true' '' $poison
 switch_off ends-keep-their-time internal/poison/ledger.go 'at := now.Add(-reported.Age)' 'at := now' $poison
 switch_off released-ends-unshared internal/poison/spread.go 'g.shared.clear(identity)' '' $poison
-switch_off ends-by-the-store internal/poison/spread.go 'g.shared.add(report.ends, now)' '' $poison
-switch_off entries-saved internal/poison/spread.go 'g.record.wanted(entry, time.Now())' '_ = entry' $poison
+switch_off ends-by-the-store internal/poison/spread.go 'g.shared.add(report.crashes, now)' '' $poison
+switch_off entries-saved internal/poison/spread.go 'g.entryStore.save(entry, time.Now())' '_ = entry' $poison
 switch_off entries-to-followers internal/poison/spread.go 'addresses := g.config.Followers()' 'var addresses []string' $poison
-switch_off objections internal/poison/quarantine.go '&& !now.Before(held.refusesFrom)' '' $poison
-switch_off past-holds internal/poison/ledger.go '(before || t.all > endsToHold)' '(t.all > endsToHold)' $poison
+switch_off objections internal/poison/quarantine.go '&& !now.Before(entry.refusesFrom)' '' $poison
+switch_off past-holds internal/poison/ledger.go '(quarantinedBefore || c.all > crashThreshold)' '(c.all > crashThreshold)' $poison
 # What servers tell in their answers.
 switch_off word-of-leaving platform/notices.go 'Leaving: answer.Header.Get(headerLeaving) == leavingYes' 'Leaving: false' ./platform
 switch_off leaving-beside-records internal/fleet/view.go 'if len(v.leaving) == 0 || !v.leaving.has(server.Incarnation()) {' 'if true {' ./internal/fleet
@@ -262,7 +262,7 @@
 switch_off era-asked-at-once internal/mirror/reading.go 'return shortestWait, 0' '' $restores
 switch_off renewals-unconfirmed internal/orders/renewal.go 'err == nil && !e.outlived(term)' 'err == nil' $restores
 switch_off last-holder-lost internal/orders/restore.go "return era > 0 && (last == nil" "return era > 0 && last != nil && last.Name == \"\" && (last == nil" $restores
-switch_off entries-outlast-restores internal/poison/guard.go 'g.record.restored(keyValues)' 'g.record.replace(keyValues)' ./internal/poison -run Restore
+switch_off entries-outlast-restores internal/poison/guard.go 'g.entryStore.restored(keyValues)' 'g.entryStore.replace(keyValues)' ./internal/poison -run Restore
 switch_off counters-saved-again internal/orders/counters_record.go 'r.revision, r.saved = 0, ratelimit.Counters{}' '' ./platform
 switch_off rollback-noticed internal/outside/etcd/rollback.go 'if revision >= floor {' 'if true {' ./internal/outside/etcd
 # Life of a process.
