--- a/internal/mirror/restore.go
+++ b/internal/mirror/restore.go
@@ -92,7 +92,7 @@
 	for id, server := range servers {
 		before := m.config.View.Record(id)
 		if before != nil && before.Draining && !server.Draining {
-			m.config.View.SetLeaving(before.Life())
+			m.config.View.SetLeaving(before.Incarnation())
 		}
 		_, inGrace := m.inGrace[id]
 		if _, removed := m.removedBefore[id]; removed && !inGrace {
