--- a/internal/orders/asking.go
+++ b/internal/orders/asking.go
@@ -8,34 +8,35 @@
 	"github.com/hatchplank/hatchplank/internal/placement"
 )
 
-// askAtOnce is how many servers are asked for reports at once. A new holder has to hear
-// each server once, and each question takes a connection: 9,640 at once took all of a
-// machine's 4,100 descriptors, so that neither callers nor nodes reached it any more. At
-// 5 ms a question it is 6,000 servers a second.
-const askAtOnce = 32
+// maxConcurrentReports bounds the concurrent calls to servers for reports. A new holder needs a
+// report from each server, and each call takes a connection: 9,640 concurrent calls took all
+// of a machine's 4,100 file descriptors, so that neither callers nor nodes could connect to it.
+// At 5 ms a call, 32 allow some 6,000 servers a second.
+const maxConcurrentReports = 32
 
-// asking is the order in which servers are asked for reports in a term. The holder's lock
-// guards it.
-type asking struct {
-	queue   []*entry
+// reportQueue holds the servers still to be asked for reports in a term, in that order, and the
+// number of workers that ask them. The holder's lock guards it.
+type reportQueue struct {
+	servers []*entry
 	workers int
 }
 
-// ask begins to ask the servers, those first that hold what is waited for. It must be
-// called with the lock held; those that were not asked before are forgotten.
-func (h *Holder) ask(ctx context.Context, stale []*entry, now time.Time) {
-	if len(stale) > askAtOnce {
-		stale = waitedFirst(stale, h.demand.waited(now))
+// requestReports starts to ask the servers for reports, beginning with those that hold awaited
+// models. It replaces the queue, including servers not asked yet. It must be called with the
+// lock held.
+func (h *Holder) requestReports(ctx context.Context, stale []*entry, now time.Time) {
+	if len(stale) > maxConcurrentReports {
+		stale = awaitedFirst(stale, h.demand.awaitedModels(now))
 	}
-	h.asking.queue = stale
-	for h.asking.workers < askAtOnce && h.asking.workers < len(stale) {
-		h.asking.workers++
-		go h.askAll(ctx, h.asking)
+	h.reports.servers = stale
+	for h.reports.workers < maxConcurrentReports && h.reports.workers < len(stale) {
+		h.reports.workers++
+		go h.runReportWorker(ctx, h.reports)
 	}
 }
 
-// waitedFirst returns the servers with those first that hold one of the models.
-func waitedFirst(servers []*entry, models map[comingKey]bool) []*entry {
+// awaitedFirst returns the servers in a new order: first those that hold one of the models.
+func awaitedFirst(servers []*entry, models map[modelKey]bool) []*entry {
 	ordered := make([]*entry, 0, len(servers))
 	var others []*entry
 	for _, server := range servers {
@@ -48,10 +49,11 @@
 	return append(ordered, others...)
 }
 
-// askAll asks one server after the other until none is left to ask, or the term is over.
-func (h *Holder) askAll(ctx context.Context, term *asking) {
+// runReportWorker asks one server after the other until the queue is empty or the term has
+// ended.
+func (h *Holder) runReportWorker(ctx context.Context, queue *reportQueue) {
 	for {
-		next := h.nextAsked(ctx, term)
+		next := h.nextToReport(ctx, queue)
 		if next == nil {
 			return
 		}
@@ -59,37 +61,40 @@
 	}
 }
 
-func (h *Holder) nextAsked(ctx context.Context, term *asking) *entry {
+// nextToReport takes the next server to ask from the queue and marks it busy. It returns nil, and
+// counts the worker as ended, if there is none or the term has ended.
+func (h *Holder) nextToReport(ctx context.Context, queue *reportQueue) *entry {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	now := time.Now()
-	for len(term.queue) > 0 && ctx.Err() == nil {
-		next := term.queue[0]
-		term.queue = term.queue[1:]
-		if next.working || !next.stale() || h.backoffLeft(next.server, now) > 0 {
+	for len(queue.servers) > 0 && ctx.Err() == nil {
+		next := queue.servers[0]
+		queue.servers = queue.servers[1:]
+		if next.busy || !next.stale() || h.remainingBackoff(next.server, now) > 0 {
 			continue
 		}
-		next.working, next.busyUntil = true, now.Add(reportLag)
+		next.busy, next.busyUntil = true, now.Add(maxReportAge)
 		return next
 	}
-	term.workers--
+	queue.workers--
 	return nil
 }
 
 // holdsAny reports whether the server holds one of the models, as far as known.
-func (e *entry) holdsAny(models map[comingKey]bool) bool {
+func (e *entry) holdsAny(models map[modelKey]bool) bool {
 	for name := range e.server.Models {
-		if models[comingKey{e.server.Pool, name}] {
+		if models[modelKey{e.server.Pool, name}] {
 			return true
 		}
 	}
 	return false
 }
 
-// unasked: nothing but the server's record tells what it holds.
-func (e *entry) unasked() bool { return !e.known && e.suspectUntil.IsZero() }
+// unreported reports whether only the server's record shows what it holds: it has not reported
+// in this term, and no order or call for a report has ended without one.
+func (e *entry) unreported() bool { return !e.reported && e.suspectUntil.IsZero() }
 
-// recordedReplicas are the models that a server's record shows.
+// recordedReplicas returns the models that a server's record shows.
 func recordedReplicas(server *fleet.Server) map[string]placement.Replica {
 	replicas := make(map[string]placement.Replica, len(server.Models))
 	for name, held := range server.Recorded() {
--- a/internal/orders/campaign.go
+++ b/internal/orders/campaign.go
@@ -13,32 +13,33 @@
 // vacancy is a state of the store in which this node may become the holder.
 type vacancy struct {
 	holderRevision, lastRevision int64
-	// notBefore is when this node may order, if it becomes the holder.
+	// notBefore is the earliest time at which this node may send orders as the holder.
 	notBefore time.Time
-	// enters: no other node's turn has to pass, so this node becomes the last
-	// that could order at once.
-	enters bool
-	// inherited is when each server may have been ordered last by another node.
-	inherited map[string]time.Time
-	// continues: a process before this one, on the same machine, may have ordered
-	// until now, and what it ordered is not known.
-	continues bool
+	// activates is set if no other node's handover period has to pass, so that this node
+	// becomes the last active holder together with the lease.
+	activates bool
+	// lastOrders is when each server may have been sent the last order of another node.
+	lastOrders map[string]time.Time
+	// restarted is set if an earlier process of this node may have sent orders until now,
+	// of which this process has no list.
+	restarted bool
 }
 
-// vacancy returns nil if there is a holder, as far as known.
+// vacancy returns nil if there is a holder or this node may not campaign, and a channel that is
+// closed on the next change.
 func (e *Election) vacancy() (<-chan struct{}, *vacancy) {
 	e.mutex.Lock()
 	changed := e.changed
-	holder, last, known, resigned, vacantAt := e.holder, e.last, e.known, e.resign, e.vacantAt
+	holder, last, synced, resigned, vacantAt := e.holder, e.lastHolder, e.synced, e.resigned, e.vacantAt
 	e.mutex.Unlock()
-	if !known || resigned {
+	if !synced || resigned {
 		return changed, nil
 	}
-	found := &vacancy{notBefore: time.Now(), enters: true}
+	found := &vacancy{notBefore: time.Now(), activates: true}
 	if holder != nil {
-		// A record of this machine is that of a process before this one. Another
-		// machine's stands as long as its lease: that its connections are refused
-		// does not prove that it orders no more.
+		// A record of this node was written by an earlier process of it. Another node's
+		// record is valid as long as its lease: refused connections don't prove that
+		// the node sends no more orders.
 		if holder.Name != e.config.Self.Name {
 			return changed, nil
 		}
@@ -51,31 +52,32 @@
 		vacantAt = time.Now()
 	}
 	switch {
-	case e.mayBeLost(last):
-		found.notBefore, found.enters = e.afterRestore(vacantAt), false
+	case e.lastHolderUncertain(last):
+		found.notBefore, found.activates = e.earliestOrderAfterRestore(vacantAt), false
 	case last == nil:
 	case last.Name != e.config.Self.Name && !last.Resigned:
-		found.notBefore, found.enters = vacantAt.Add(e.config.HandoverPeriod+leaseMargin), false
+		found.notBefore, found.activates = vacantAt.Add(e.config.HandoverPeriod+leaseMargin), false
 	default:
-		found.inherited, found.continues = last.inherited(), !last.Resigned
+		found.lastOrders, found.restarted = last.lastOrders(), !last.Resigned
 	}
 	return changed, found
 }
 
-// campaign tries to become the holder.
+// campaign tries to become the holder. It fails if the records have changed since the vacancy
+// was observed.
 func (e *Election) campaign(at vacancy) (*Term, error) {
 	era := e.config.Era()
-	lease, err := e.grant()
+	lease, err := e.grantLease()
 	if err != nil {
 		return nil, err
 	}
 	sent := time.Now()
-	own := e.self()
+	own := e.ownRecord()
 	value, err := json.Marshal(own)
 	if err != nil {
 		return nil, eris.Wrap(err, "encode the record")
 	}
-	turns := e.turnsAt(at, sent)
+	history := e.historyAt(at, sent)
 	transaction := outside.Transaction{
 		Compares: []outside.Compare{
 			{Key: e.holderKey(), ModRevision: at.holderRevision},
@@ -83,89 +85,90 @@
 		},
 		Operations: []outside.Operation{{Kind: outside.OperationPut, Key: e.holderKey(), Value: value, Lease: lease}},
 	}
-	if at.enters {
-		entering, err := json.Marshal(e.enteringRecord(turns, sent))
+	if at.activates {
+		active, err := json.Marshal(e.activeRecord(history, sent))
 		if err != nil {
-			return nil, eris.Wrap(err, "encode the record of the last holder")
+			return nil, eris.Wrap(err, "encode the record of the last active holder")
 		}
-		transaction.Operations = append(transaction.Operations, outside.Operation{Kind: outside.OperationPut, Key: e.lastKey(), Value: entering})
+		transaction.Operations = append(transaction.Operations, outside.Operation{Kind: outside.OperationPut, Key: e.lastKey(), Value: active})
 	}
 	reply, err := e.transact(transaction)
 	if err != nil {
 		return nil, err
 	}
 	if outside.EraOf(reply.Revision) != era {
-		// The lease may be another node's by now.
+		// The restored store may have granted the same lease to another node.
 		return nil, eris.Errorf("the store was restored meanwhile: era %d, before %d", outside.EraOf(reply.Revision), era)
 	}
-	term := newTerm(reply.Revision, at.notBefore, sent.Add(e.config.Lease-leaseMargin), at.enters)
-	term.turns = turns
+	term := newTerm(reply.Revision, at.notBefore, sent.Add(e.config.Lease-leaseMargin), at.activates)
+	term.history = history
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.resign {
+	if e.resigned {
 		return nil, errors.New("the node is stopping")
 	}
 	e.term, e.lease = term, lease
 	record := own
-	record.Revision, record.lease, record.seenAt = reply.Revision, lease, time.Now()
+	record.Revision, record.lease, record.receivedAt = reply.Revision, lease, time.Now()
 	e.holder = &record
-	if at.enters {
-		e.last = &record
+	if at.activates {
+		e.lastHolder = &record
 	}
 	e.config.Logger.Info().Int64("token", term.Token).Dur("first_order_in_ms", time.Until(term.NotBefore)).Msg("lease held")
 	return term, nil
 }
 
-// turnsAt is what a term that begins knows of earlier orders. After a whole turn
-// that is nothing, and nothing more is needed.
-func (e *Election) turnsAt(at vacancy, now time.Time) *turns {
-	known := newTurns()
+// historyAt returns the order history with which a term begins. It is empty if the term begins
+// to order only after a whole handover period.
+func (e *Election) historyAt(at vacancy, now time.Time) *orderHistory {
+	history := newOrderHistory()
 	if e.config.HandoverPeriod > 0 {
-		known.wait = e.config.HandoverPeriod + leaseMargin
+		history.handoverPeriod = e.config.HandoverPeriod + leaseMargin
 	}
-	if !at.enters {
-		return known
+	if !at.activates {
+		return history
 	}
-	known.inherited = at.inherited
-	if at.continues {
-		known.completeFrom = now.Add(known.wait)
+	history.inherited = at.lastOrders
+	if at.restarted {
+		history.completeFrom = now.Add(history.handoverPeriod)
 	}
-	return known
+	return history
 }
 
-// enteringRecord names this node as the last that could order, with the orders of
-// others that a successor must wait after as well.
-func (e *Election) enteringRecord(known *turns, now time.Time) HolderRecord {
-	record := e.self()
-	record.Recent, _ = known.recent(now)
+// activeRecord returns the record that names this node as the last active holder. It includes
+// recent orders of predecessors, since a successor has to wait after those as well.
+func (e *Election) activeRecord(history *orderHistory, now time.Time) HolderRecord {
+	record := e.ownRecord()
+	record.Recent, _ = history.recent(now)
 	return record
 }
 
-func (e *Election) grant() (outside.LeaseID, error) {
+// grantLease obtains a new lease from the store.
+func (e *Election) grantLease() (outside.LeaseID, error) {
 	return outside.Await(func(done func(outside.LeaseID, error)) {
 		e.config.Store.GrantLease(e.config.Lease, storeTimeout, done)
 	})
 }
 
-// transact reports a condition that did not hold as an error. A write whose
-// outcome is unknown shows in the watch: the record is this machine's own then,
-// and is taken over by the next campaign.
+// transact runs a transaction. It returns an error if a comparison fails, and then applies the
+// records that the store returned. If the outcome of a write is unknown, the watch shows
+// whether it took effect; the next campaign then replaces this node's own record.
 func (e *Election) transact(transaction outside.Transaction) (outside.TransactionResult, error) {
 	result, err := outside.Await(func(done func(outside.TransactionResult, error)) {
 		e.config.Store.Transact(transaction, storeTimeout, done)
 	})
 	if err == nil && !result.Succeeded {
-		err = errors.New("another node was first")
+		err = errors.New("the records in the store have changed; another node may have become the holder")
 		e.adopt(result.Current)
 	}
 	return result, err
 }
 
-// adopt takes over the records that a failed condition showed.
+// adopt applies the current records that a failed comparison returned.
 func (e *Election) adopt(current []outside.KeyValue) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, keyValue := range current {
-		e.set(keyValue)
+		e.applyRecord(keyValue)
 	}
 }
--- a/internal/orders/counters.go
+++ b/internal/orders/counters.go
@@ -7,38 +7,40 @@
 	"github.com/hatchplank/hatchplank/internal/ratelimit"
 )
 
-// hearingPeriods of reports pass in a term before the nodes that count limits are
-// chosen, so that a new holder has heard of those that live.
-const hearingPeriods = 2
+// collectPeriods is the number of report periods at the start of a term before the counting
+// nodes are chosen, so that a new holder has reports from all live nodes.
+const collectPeriods = 2
 
-// countersLost is how long a holder that does not hear of more than half of the nodes that
-// count leaves them as they are: longer than cuts and restarts of nodes last, an estimate. They
-// may hear each other, and the holder be the one that is cut off. Without it such a holder, which
-// still reached the store, named itself alone, gave a server's whole limit to its own callers,
-// and left the other nodes to their shares besides: 11 requests in 4 s at 0.87 a second, of
-// which 10 are tolerated (6 nodes in virtual time).
-const countersLost = 30 * time.Second
+// countersTimeout is how long a holder without reports from more than half of the counting nodes
+// leaves them unchanged: an estimate, longer than partitions and restarts of nodes last. The
+// counting nodes may reach each other, and the holder may be the isolated one. Without this
+// time-out, such a holder, which still reached the store, chose itself as the only counting
+// node and gave a server's whole rate limit to its own callers, while the other nodes used
+// their shares as well: 11 requests in 4 s at 0.87 a second, of which 10 are tolerated (6 nodes
+// in virtual time).
+const countersTimeout = 30 * time.Second
 
-// chooseCounters chooses the nodes that count limits for all, of tenants and of servers, among those that report, and
-// tells all of them when these change.
+// chooseCounters chooses, among the reporting nodes, those that count the rate limits of tenants
+// and servers for all nodes. It saves the choice in the store, and sends it to all reporting
+// nodes when it changes.
 func (h *Holder) chooseCounters(term *Term, now time.Time) {
-	live := h.demand.live(now)
-	living := make([]string, 0, len(live))
+	live := h.demand.liveNodes(now)
+	addresses := make([]string, 0, len(live))
 	for address := range live {
-		living = append(living, address)
+		addresses = append(addresses, address)
 	}
 	h.mutex.Lock()
-	heard := now.Sub(h.began) >= hearingPeriods*reportPeriodOf(h.demand.nodeCount())
+	collected := now.Sub(h.termStart) >= collectPeriods*reportPeriodOf(h.demand.nodeCount())
 	earlier := h.counters
 	if len(earlier.Addresses) == 0 {
 		earlier = h.config.Counters()
 	}
-	if hearsMost(earlier.Addresses, live) {
-		h.countersHeardAt = now
+	if majorityReports(earlier.Addresses, live) {
+		h.countersMajorityAt = now
 	}
-	chosen := ratelimit.Choose(earlier.Addresses, living)
-	mayChange := h.countersHeardAt.Equal(now) || now.Sub(h.countersHeardAt) >= countersLost
-	changed := heard && mayChange && len(chosen) > 0 && !slices.Equal(chosen, h.counters.Addresses)
+	chosen := ratelimit.Choose(earlier.Addresses, addresses)
+	mayChange := h.countersMajorityAt.Equal(now) || now.Sub(h.countersMajorityAt) >= countersTimeout
+	changed := collected && mayChange && len(chosen) > 0 && !slices.Equal(chosen, h.counters.Addresses)
 	if changed {
 		h.counters = ratelimit.Counters{Token: term.Token, Version: h.counters.Version + 1, Addresses: chosen}
 	}
@@ -53,33 +55,33 @@
 	}
 }
 
-// hearsMost reports whether more than half of the nodes that count report.
-func hearsMost(counting []string, live map[string]string) bool {
-	heard := 0
+// majorityReports reports whether more than half of the counting nodes report, or there are none.
+func majorityReports(counting []string, live map[string]string) bool {
+	reporting := 0
 	for _, address := range counting {
 		if _, reports := live[address]; reports {
-			heard++
+			reporting++
 		}
 	}
-	return len(counting) == 0 || 2*heard > len(counting)
+	return len(counting) == 0 || 2*reporting > len(counting)
 }
 
-// ReportingNodes returns the addresses of the nodes that report to this one, while it holds
-// the orders.
+// ReportingNodes returns the addresses of the nodes that report to this one; nil if this node has
+// no term.
 func (h *Holder) ReportingNodes() []string {
 	if h.config.Election.Term() == nil {
 		return nil
 	}
 	var addresses []string
-	for address := range h.demand.live(time.Now()) {
+	for address := range h.demand.liveNodes(time.Now()) {
 		addresses = append(addresses, address)
 	}
 	return addresses
 }
 
-// countersUnknownTo returns the nodes that count limits, if the reporting node does
-// not know them yet.
-func (h *Holder) countersUnknownTo(report DemandReport) ratelimit.Counters {
+// countersFor returns the counting nodes if the reporting node does not know them yet, and
+// otherwise none.
+func (h *Holder) countersFor(report DemandReport) ratelimit.Counters {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if report.Counters == h.counters.Version && report.CountersToken == h.counters.Token {
--- a/internal/orders/counters_record.go
+++ b/internal/orders/counters_record.go
@@ -11,36 +11,37 @@
 	"github.com/hatchplank/hatchplank/internal/ratelimit"
 )
 
-// saveRetry is the pause after a try to save that failed.
-const saveRetry = time.Second
+// saveRetryPause is the minimum time between two attempts to save.
+const saveRetryPause = time.Second
 
-// CountersStore keeps in the store which nodes count limits, so that nodes know it
-// as soon as they have read the store, before they have heard of a holder: after a
-// loss of all nodes that takes seconds.
+// CountersStore saves in the store which nodes count rate limits. So nodes know it as soon as they
+// have read the store, before they receive it from a holder, which takes seconds after a loss of
+// all nodes. It is safe for concurrent use.
 type CountersStore struct {
 	Store outside.KeyValueService
-	Key   string
-	// OnChange is called with what the store holds.
+	// Key of the record.
+	Key string
+	// OnChange is called with each record received from the store.
 	OnChange func(counters ratelimit.Counters)
 	Logger   zerolog.Logger
 
 	mutex sync.Mutex
-	// revision at which the record was written, as far as known.
+	// revision is the newest known revision of the record.
 	revision int64
 	saving   bool
 	nextTry  time.Time
 	saved    ratelimit.Counters
 }
 
-// Replace takes over all keys that exist.
+// Replace applies the record if it is among all keys that exist.
 func (r *CountersStore) Replace(keyValues []outside.KeyValue) {
 	for _, keyValue := range keyValues {
-		r.take(keyValue)
+		r.apply(keyValue)
 	}
 }
 
-// Restored takes over all keys that exist after the store came back from a backup. What was
-// saved since is lost.
+// Restored applies all keys that exist after a restore of the store from a backup. The restore
+// may have lost what was saved, so it is saved again.
 func (r *CountersStore) Restored(keyValues []outside.KeyValue) {
 	r.mutex.Lock()
 	r.revision, r.saved = 0, ratelimit.Counters{}
@@ -48,20 +49,21 @@
 	r.Replace(keyValues)
 }
 
-// Change takes over one key.
+// Change applies the change of one key.
 func (r *CountersStore) Change(event outside.WatchEvent) {
 	if !event.Deleted {
-		r.take(event.KeyValue)
+		r.apply(event.KeyValue)
 	}
 }
 
-func (r *CountersStore) take(keyValue outside.KeyValue) {
+// apply applies the record, and ignores other keys.
+func (r *CountersStore) apply(keyValue outside.KeyValue) {
 	if keyValue.Key != r.Key {
 		return
 	}
 	var counters ratelimit.Counters
 	if err := json.Unmarshal(keyValue.Value, &counters); err != nil {
-		r.Logger.Error().Err(err).Str("key", r.Key).Msg("record of the nodes that count quotas is not understood")
+		r.Logger.Error().Err(err).Str("key", r.Key).Msg("cannot decode the record of the nodes that count rate limits")
 		return
 	}
 	r.mutex.Lock()
@@ -70,7 +72,8 @@
 	r.OnChange(counters)
 }
 
-// save writes the counters, unless they are there or a try is under way.
+// save writes the counters, unless they are saved already, a write is in progress, or the last one
+// began less than saveRetryPause ago.
 func (r *CountersStore) save(counters ratelimit.Counters, now time.Time) {
 	r.mutex.Lock()
 	known := r.saved.Token == counters.Token && r.saved.Version == counters.Version
@@ -83,23 +86,23 @@
 	r.mutex.Unlock()
 	value, err := json.Marshal(counters)
 	if err != nil {
-		r.ended(counters, now, false, err)
+		r.saveEnded(counters, now, false, err)
 		return
 	}
 	r.Store.Transact(outside.Transaction{
 		Compares:   []outside.Compare{compare},
 		Operations: []outside.Operation{{Kind: outside.OperationPut, Key: r.Key, Value: value}},
 	}, storeTimeout, func(reply outside.TransactionResult, err error) {
-		r.ended(counters, now, reply.Succeeded, err)
+		r.saveEnded(counters, now, reply.Succeeded, err)
 	})
 }
 
-// ended notes how a try ended. A try that met another revision is made again with
-// the one that the node learns of.
-func (r *CountersStore) ended(counters ratelimit.Counters, began time.Time, succeeded bool, err error) {
+// saveEnded records the result of a write. A write that failed since the revision had changed is
+// retried with the revision that this node receives.
+func (r *CountersStore) saveEnded(counters ratelimit.Counters, began time.Time, succeeded bool, err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.saving, r.nextTry = false, began.Add(saveRetry)
+	r.saving, r.nextTry = false, began.Add(saveRetryPause)
 	if succeeded {
 		r.saved = counters
 		return
--- a/internal/orders/demand.go
+++ b/internal/orders/demand.go
@@ -12,40 +12,41 @@
 )
 
 const (
-	// reportPeriods is how many periods a node's report counts.
-	reportPeriods = 6
-	// rateTime over which arrivals are averaged.
+	// reportLifetimePeriods is for how many report periods a node's report is valid.
+	reportLifetimePeriods = 6
+	// rateTime is the time constant of the average over arrivals.
 	rateTime = 4 * time.Second
 )
 
-// demandBook sums the demand of all nodes.
-type demandBook struct {
+// demandTracker sums the demand that all nodes report.
+type demandTracker struct {
 	mutex sync.Mutex
 	nodes map[string]*nodeReport
 	// usage by row, over all nodes.
 	usage map[forward.DemandKey]*usage
 }
 
+// nodeReport is the latest report of a node.
 type nodeReport struct {
-	report DemandReport
-	at     time.Time
-	// arrived counts by row, as last told.
+	report     DemandReport
+	receivedAt time.Time
+	// arrived is the reported count of arrivals by row.
 	arrived map[forward.DemandKey]uint64
 }
 
-// usage is how often a row was asked for.
+// usage is how often a row was requested.
 type usage struct {
-	// rate of arrivals a second, as of rateAt.
-	rate   float64
-	rateAt time.Time
-	last   time.Time
+	// rate is the number of arrivals a second, as of rateAt.
+	rate     float64
+	rateAt   time.Time
+	lastUsed time.Time
 }
 
 func (u *usage) add(count uint64, now time.Time) {
 	u.rate = u.rateNow(now) + float64(count)/rateTime.Seconds()
 	u.rateAt = now
 	if count > 0 {
-		u.last = now
+		u.lastUsed = now
 	}
 }
 
@@ -56,59 +57,62 @@
 	return u.rate * math.Exp(-now.Sub(u.rateAt).Seconds()/rateTime.Seconds())
 }
 
-// reportPeriodOf is the time between a node's reports when nothing begins to wait.
-// It grows with the nodes, so that the holder's work does not.
+// reportPeriodOf returns the time between a node's reports when no requests begin to wait.
+// It grows with the number of nodes, so that the holder's load stays constant.
 func reportPeriodOf(nodes int) time.Duration {
 	return reportPeriod * time.Duration(max(1, (nodes+nodesPerPeriod-1)/nodesPerPeriod))
 }
 
-// lifetime is how long a report counts. It must be called with the lock held.
-func (b *demandBook) lifetime() time.Duration { return reportPeriods * reportPeriodOf(len(b.nodes)) }
+// lifetime is how long a report is valid. It must be called with the lock held.
+func (t *demandTracker) lifetime() time.Duration {
+	return reportLifetimePeriods * reportPeriodOf(len(t.nodes))
+}
 
-func newDemandBook() *demandBook {
-	return &demandBook{nodes: map[string]*nodeReport{}, usage: map[forward.DemandKey]*usage{}}
+func newDemandTracker() *demandTracker {
+	return &demandTracker{nodes: map[string]*nodeReport{}, usage: map[forward.DemandKey]*usage{}}
 }
 
-// take takes a report over, unless a newer one of the node was.
-func (b *demandBook) take(report DemandReport, now time.Time) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	node := b.nodes[report.Node]
+// add stores a report, unless a newer one of the same process is stored.
+func (t *demandTracker) add(report DemandReport, now time.Time) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	node := t.nodes[report.Node]
 	if node == nil || node.report.Started != report.Started {
 		node = &nodeReport{arrived: map[forward.DemandKey]uint64{}}
-		b.nodes[report.Node] = node
+		t.nodes[report.Node] = node
 	} else if node.report.Sequence >= report.Sequence {
 		return
 	}
 	for _, row := range report.Rows {
-		b.count(node, row, now)
+		t.countArrivals(node, row, now)
 	}
-	node.report, node.at = report, now
-	b.forget(now)
+	node.report, node.receivedAt = report, now
+	t.removeExpired(now)
 }
 
-// forgetNodeAfter this time without a report, a node has left.
-const forgetNodeAfter = time.Minute
+// nodeExpiry is the time without a report after which a node is removed.
+const nodeExpiry = time.Minute
 
-// forget drops the nodes that have left. It must be called with the lock held.
-func (b *demandBook) forget(now time.Time) {
-	for name, node := range b.nodes {
-		if now.Sub(node.at) > forgetNodeAfter {
-			delete(b.nodes, name)
+// removeExpired removes the nodes that no longer report. It must be called with the lock held.
+func (t *demandTracker) removeExpired(now time.Time) {
+	for name, node := range t.nodes {
+		if now.Sub(node.receivedAt) > nodeExpiry {
+			delete(t.nodes, name)
 		}
 	}
 }
 
-func (b *demandBook) count(node *nodeReport, row DemandRow, now time.Time) {
+// countArrivals adds a row's new arrivals to its usage. It must be called with the lock held.
+func (t *demandTracker) countArrivals(node *nodeReport, row DemandRow, now time.Time) {
 	key := forward.DemandKey{Pool: row.Pool, Model: row.Model, Adapter: row.Adapter}
-	found := b.usage[key]
+	found := t.usage[key]
 	if found == nil {
 		found = &usage{}
-		b.usage[key] = found
+		t.usage[key] = found
 	}
 	before, known := node.arrived[key]
 	if !known && row.Arrived > 0 {
-		// What arrived before this holder's term says little of the rate.
+		// Arrivals from before this holder's term say little about the current rate.
 		before = row.Arrived - 1
 	}
 	if row.Arrived > before {
@@ -117,50 +121,50 @@
 	node.arrived[key] = row.Arrived
 }
 
-// nodeCount is the number of nodes that reported.
-func (b *demandBook) nodeCount() int {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return len(b.nodes)
+// nodeCount returns the number of nodes that have reported and not expired.
+func (t *demandTracker) nodeCount() int {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return len(t.nodes)
 }
 
-// counting are the nodes whose reports count, by name. The lock must be held while they
-// are gone through.
-func (b *demandBook) counting(now time.Time) iter.Seq2[string, *nodeReport] {
-	lifetime := b.lifetime()
+// validReports iterates over the nodes whose reports are still valid, by name. The lock must
+// be held during the iteration.
+func (t *demandTracker) validReports(now time.Time) iter.Seq2[string, *nodeReport] {
+	lifetime := t.lifetime()
 	return func(yield func(string, *nodeReport) bool) {
-		for name, node := range b.nodes {
-			if now.Sub(node.at) < lifetime && !yield(name, node) {
+		for name, node := range t.nodes {
+			if now.Sub(node.receivedAt) < lifetime && !yield(name, node) {
 				return
 			}
 		}
 	}
 }
 
-// live returns the nodes that reported lately, by address.
-func (b *demandBook) live(now time.Time) map[string]string {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+// liveNodes returns the names of the nodes with a valid report, by address.
+func (t *demandTracker) liveNodes(now time.Time) map[string]string {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	found := map[string]string{}
-	for name, node := range b.counting(now) {
+	for name, node := range t.validReports(now) {
 		found[node.report.Address] = name
 	}
 	return found
 }
 
-// waitingNodes returns, by the address of a node, those of the models that its
-// callers wait for.
-func (b *demandBook) waitingNodes(models []comingKey, now time.Time) map[string][]comingKey {
-	asked := make(map[comingKey]bool, len(models))
+// waitingNodes returns, by node address, those of the models that the node's callers wait
+// for.
+func (t *demandTracker) waitingNodes(models []modelKey, now time.Time) map[string][]modelKey {
+	requested := make(map[modelKey]bool, len(models))
 	for _, key := range models {
-		asked[key] = true
+		requested[key] = true
 	}
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	waiting := map[string][]comingKey{}
-	for _, node := range b.counting(now) {
-		for _, key := range node.report.waitsFor() {
-			if asked[key] {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	waiting := map[string][]modelKey{}
+	for _, node := range t.validReports(now) {
+		for _, key := range node.report.awaitedModels() {
+			if requested[key] {
 				waiting[node.report.Address] = append(waiting[node.report.Address], key)
 			}
 		}
@@ -168,38 +172,38 @@
 	return waiting
 }
 
-// asking are the addresses of the nodes whose callers ask for the model.
-func (b *demandBook) asking(model comingKey, now time.Time) []string {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+// nodesRequesting returns the addresses of the nodes whose callers request the model.
+func (t *demandTracker) nodesRequesting(model modelKey, now time.Time) []string {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	var addresses []string
-	for _, node := range b.counting(now) {
-		asks := func(row DemandRow) bool { return comingKey{row.Pool, row.Model} == model }
-		if slices.ContainsFunc(node.report.Rows, asks) {
+	for _, node := range t.validReports(now) {
+		requests := func(row DemandRow) bool { return modelKey{row.Pool, row.Model} == model }
+		if slices.ContainsFunc(node.report.Rows, requests) {
 			addresses = append(addresses, node.report.Address)
 		}
 	}
 	return addresses
 }
 
-// waited are the models that callers of any node wait for.
-func (b *demandBook) waited(now time.Time) map[comingKey]bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	models := map[comingKey]bool{}
-	for _, node := range b.counting(now) {
-		for _, key := range node.report.waitsFor() {
+// awaitedModels returns the models that callers of any node wait for.
+func (t *demandTracker) awaitedModels(now time.Time) map[modelKey]bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	models := map[modelKey]bool{}
+	for _, node := range t.validReports(now) {
+		for _, key := range node.report.awaitedModels() {
 			models[key] = true
 		}
 	}
 	return models
 }
 
-// waitsFor returns the models that the node's callers wait for.
-func (r *DemandReport) waitsFor() []comingKey {
-	var models []comingKey
+// awaitedModels returns the models that the node's callers wait for.
+func (r *DemandReport) awaitedModels() []modelKey {
+	var models []modelKey
 	for _, row := range r.Rows {
-		key := comingKey{row.Pool, row.Model}
+		key := modelKey{row.Pool, row.Model}
 		if row.Waiting > 0 && !slices.Contains(models, key) {
 			models = append(models, key)
 		}
@@ -207,17 +211,17 @@
 	return models
 }
 
-// ofPool sums the demand for a pool's models.
-func (b *demandBook) ofPool(pool string, now time.Time) map[string]*placement.Demand {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+// poolDemand sums the demand for a pool's models, by model.
+func (t *demandTracker) poolDemand(pool string, now time.Time) map[string]*placement.Demand {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	models := map[string]*placement.Demand{}
-	for key, found := range b.usage {
+	for key, found := range t.usage {
 		if key.Pool == pool {
 			addUsage(demandOf(models, key.Model), key.Adapter, found, now)
 		}
 	}
-	for _, node := range b.counting(now) {
+	for _, node := range t.validReports(now) {
 		for _, row := range node.report.Rows {
 			if row.Pool == pool {
 				addRow(demandOf(models, row.Model), row)
@@ -248,12 +252,12 @@
 func addUsage(demand *placement.Demand, adapter string, used *usage, now time.Time) {
 	rate := used.rateNow(now)
 	demand.Rate += rate
-	if used.last.After(demand.LastUsed) {
-		demand.LastUsed = used.last
+	if used.lastUsed.After(demand.LastUsed) {
+		demand.LastUsed = used.lastUsed
 	}
 	if adapter != "" {
 		ofAdapter := adapterDemandOf(demand, adapter)
-		ofAdapter.Rate, ofAdapter.LastUsed = rate, used.last
+		ofAdapter.Rate, ofAdapter.LastUsed = rate, used.lastUsed
 	}
 }
 
--- a/internal/orders/election.go
+++ b/internal/orders/election.go
@@ -14,48 +14,49 @@
 )
 
 const (
-	// leaseMargin is the part of the lease in which no order is given, for
-	// clocks that run at different rates and orders on their way.
+	// leaseMargin is the last part of the lease, in which no orders are sent. It allows for
+	// clocks that run at different rates and for orders still on their way.
 	leaseMargin = 250 * time.Millisecond
-	// renewals within one lease.
-	renewals = 4
-	// campaignSpread is the longest wait of a node that wants to be the holder, and
-	// campaignNodes the number of nodes up to which few wait equally short; see
+	// renewalsPerLease is the number of renewals within one lease.
+	renewalsPerLease = 4
+	// maxCampaignWait is the longest random wait of a node before it campaigns, and
+	// campaignNodes the number of nodes up to which few of them wait equally short; see
 	// campaignWait.
-	campaignSpread = 120 * time.Millisecond
-	campaignNodes  = 1000
-	// campaignPause between tries that failed.
-	campaignPause = 300 * time.Millisecond
-	// storeTimeout of a call.
+	maxCampaignWait = 120 * time.Millisecond
+	campaignNodes   = 1000
+	// campaignRetryPause is the pause after a failed campaign.
+	campaignRetryPause = 300 * time.Millisecond
+	// storeTimeout limits each call to the store.
 	storeTimeout = 900 * time.Millisecond
 )
 
-// HolderRecord is the holder as it stands in the store.
+// HolderRecord describes the holder in the store.
 type HolderRecord struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
-	// Resigned: the node ended its term in order, and no node has ordered since.
+	// Resigned is set if the node ended its term in a handover and no node has sent
+	// orders since.
 	Resigned bool `json:"resigned,omitempty"`
-	// Recent orders of before this record was written: for each server that was
-	// ordered within a turn, how long ago, in milliseconds. All others were not.
+	// Recent lists the servers that were sent orders within the handover period before this
+	// record was written, each with the age of the last order in milliseconds.
 	Recent map[string]int64 `json:"recent,omitempty"`
-	// Era of the store in which the record was written. After a restore an older record
-	// may be back, and later ones are lost.
+	// Era is the era of the store in which the record was written. A restore of the store
+	// may bring back an older record and lose later ones.
 	Era int64 `json:"era,omitempty"`
-	// Revision at which the record was written; it is the term's token, unless the term
-	// has outlasted a restore of the store.
+	// Revision is the revision at which the record was written. It is the term's token,
+	// unless the term has outlasted a restore of the store.
 	Revision int64 `json:"-"`
-	// lease that the record ends with.
+	// lease is the lease with which the record expires.
 	lease outside.LeaseID
-	// seenAt is when this node learned of the record.
-	seenAt time.Time
+	// receivedAt is when this node received the record.
+	receivedAt time.Time
 }
 
-// inherited is when each server may have been ordered last.
-func (r *HolderRecord) inherited() map[string]time.Time {
+// lastOrders returns the latest time at which each server in Recent may have been sent an order.
+func (r *HolderRecord) lastOrders() map[string]time.Time {
 	times := make(map[string]time.Time, len(r.Recent))
 	for server, age := range r.Recent {
-		times[server] = r.seenAt.Add(-time.Duration(age) * time.Millisecond)
+		times[server] = r.receivedAt.Add(-time.Duration(age) * time.Millisecond)
 	}
 	return times
 }
@@ -63,42 +64,50 @@
 // ElectionConfig configures an Election.
 type ElectionConfig struct {
 	Store outside.KeyValueService
-	// Prefix of the two keys: the holder, under its lease, and the one who was
-	// the last that could order, which stays.
+	// Prefix of the two keys: one names the holder and expires with its lease, the other
+	// names the last active holder, the last node that was allowed to send orders, and
+	// doesn't expire.
 	Prefix string
-	Self   HolderRecord
-	// Era counts how often the store was restored from a backup; nil: never.
+	// Self is this node's record.
+	Self HolderRecord
+	// Era returns how often the store was restored from a backup; nil means never.
 	Era func() int64
-	// Lease is the time after which a holder that is not heard is replaced.
+	// Lease is the time after which a holder that does not renew its lease is replaced.
 	Lease time.Duration
-	// HandoverPeriod is the time between the orders of two holders.
+	// HandoverPeriod is the minimum time between orders of two holders to the same server;
+	// zero if the servers check fencing tokens.
 	HandoverPeriod time.Duration
-	// ExtraCampaignWait is how much longer than others this node waits before it campaigns: the
-	// time that its machine takes to tell all nodes of a change. A holder on one of the
-	// smallest of 985 machines ran out of descriptors 14 s after the start.
+	// ExtraCampaignWait is how much longer than others this node waits before it campaigns:
+	// the time that its machine takes to send a change to all nodes. Without it, a holder
+	// on one of the smallest of 985 machines ran out of descriptors 14 s after the start.
 	ExtraCampaignWait time.Duration
 	Logger            zerolog.Logger
 }
 
-// Election finds the one holder by a record in the store.
+// Election elects one node as the holder, by a record in the store. It is safe for concurrent
+// use.
 type Election struct {
 	config ElectionConfig
 
-	mutex   sync.Mutex
-	known   bool
-	holder  *HolderRecord
-	last    *HolderRecord
-	term    *Term
-	lease   outside.LeaseID
-	changed chan struct{}
-	resign  bool
-	// vacantAt is when the holder was seen to be gone, and restoredAt when this node first
-	// knew of the store's era restoredEra.
+	mutex sync.Mutex
+	// synced is set once the keys have been read.
+	synced bool
+	holder *HolderRecord
+	// lastHolder is the record of the last active holder.
+	lastHolder *HolderRecord
+	term       *Term
+	lease      outside.LeaseID
+	// changed is closed, and replaced, on each change.
+	changed  chan struct{}
+	resigned bool
+	// vacantAt is when the holder's record was last seen to be deleted or expired, and
+	// restoredAt when this node first observed the store's era restoredEra.
 	vacantAt, restoredAt time.Time
 	restoredEra          int64
 }
 
-// NewElection returns an election; Replace and Change feed it, Run takes part.
+// NewElection returns an election. Replace, Restored and Change pass it the keys of the store;
+// Run takes part in it.
 func NewElection(config ElectionConfig) *Election {
 	if config.Era == nil {
 		config.Era = func() int64 { return 0 }
@@ -110,7 +119,7 @@
 
 func (e *Election) lastKey() string { return e.config.Prefix + "holder-last" }
 
-// Holder returns the current holder, if one is known.
+// Holder returns the current holder's record, if there is one.
 func (e *Election) Holder() (HolderRecord, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -120,8 +129,8 @@
 	return *e.holder, true
 }
 
-// RemoteHolderAddress returns the address of the holder if that is another node, else
-// an empty one.
+// RemoteHolderAddress returns the address of the holder if that is another node, and otherwise
+// an empty string.
 func (e *Election) RemoteHolderAddress() string {
 	holder, known := e.Holder()
 	if !known || holder.Address == e.config.Self.Address {
@@ -130,35 +139,35 @@
 	return holder.Address
 }
 
-// IsLocalHolder reports whether the holder, as far as known, is this node.
+// IsLocalHolder reports whether this node is the holder, as far as known.
 func (e *Election) IsLocalHolder() bool {
 	holder, known := e.Holder()
 	return known && holder.Address == e.config.Self.Address
 }
 
-// Term returns this node's term, or nil.
+// Term returns this node's term, or nil if it has none.
 func (e *Election) Term() *Term {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.term
 }
 
-// Replace takes over all keys that exist.
+// Replace replaces the known records by those of all keys that exist.
 func (e *Election) Replace(keyValues []outside.KeyValue) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	holder := e.holder
-	e.holder, e.last, e.known = nil, nil, true
+	e.holder, e.lastHolder, e.synced = nil, nil, true
 	for _, keyValue := range keyValues {
-		e.set(keyValue)
+		e.applyRecord(keyValue)
 	}
 	if holder != nil && e.holder == nil {
 		e.vacantAt = time.Now()
 	}
-	e.wake()
+	e.notifyChange()
 }
 
-// Change takes over one key.
+// Change applies the change of one key.
 func (e *Election) Change(event outside.WatchEvent) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -169,37 +178,38 @@
 			e.vacantAt = time.Now()
 		}
 	} else {
-		e.set(event.KeyValue)
+		e.applyRecord(event.KeyValue)
 	}
-	e.wake()
+	e.notifyChange()
 }
 
-// set must be called with the lock held.
-func (e *Election) set(keyValue outside.KeyValue) {
+// applyRecord applies one key's record unless a newer one is known. It must be called with the
+// lock held.
+func (e *Election) applyRecord(keyValue outside.KeyValue) {
 	var record HolderRecord
 	if err := json.Unmarshal(keyValue.Value, &record); err != nil {
 		e.config.Logger.Error().Err(err).Str("key", keyValue.Key).Msg("record is not understood")
 		return
 	}
-	record.Revision, record.lease, record.seenAt = keyValue.ModRevision, keyValue.Lease, time.Now()
+	record.Revision, record.lease, record.receivedAt = keyValue.ModRevision, keyValue.Lease, time.Now()
 	switch keyValue.Key {
 	case e.holderKey():
 		if e.holder == nil || e.holder.Revision < record.Revision {
 			e.config.Logger.Info().Str("holder", record.Name).Int64("token", record.Revision).Msg("holder known")
 			e.holder = &record
-			e.endReplaced(record)
+			e.endSupersededTerm(record)
 		}
 	case e.lastKey():
-		if e.last == nil || e.last.Revision < record.Revision {
-			e.last = &record
+		if e.lastHolder == nil || e.lastHolder.Revision < record.Revision {
+			e.lastHolder = &record
 		}
 	}
 }
 
-// endReplaced ends this node's term when a later holder's record shows. It must
-// be called with the lock held.
-func (e *Election) endReplaced(record HolderRecord) {
-	if e.term == nil || record.Revision <= e.term.revision || e.isOwn(record) {
+// endSupersededTerm ends this node's term if the record is that of a later holder. It must be
+// called with the lock held.
+func (e *Election) endSupersededTerm(record HolderRecord) {
+	if e.term == nil || record.Revision <= e.term.revision || e.isOwnRecord(record) {
 		return
 	}
 	e.config.Logger.Warn().Int64("token", e.term.Token).Str("holder", record.Name).Msg("term ended by a later holder")
@@ -207,37 +217,38 @@
 	e.term = nil
 }
 
-// wake must be called with the lock held.
-func (e *Election) wake() {
+// notifyChange wakes whoever waits on changed. It must be called with the lock held.
+func (e *Election) notifyChange() {
 	close(e.changed)
 	e.changed = make(chan struct{})
 }
 
-// Resign ends this node's term, and keeps it from taking part again.
+// Resign ends this node's term with a handover, and keeps the node from campaigning again.
 func (e *Election) Resign() {
 	e.mutex.Lock()
 	term, lease := e.term, e.lease
-	e.resign = true
+	e.resigned = true
 	e.term = nil
 	e.mutex.Unlock()
 	if term == nil {
 		return
 	}
 	term.end()
-	told := e.tellRecent(term)
+	handedOver := e.handOver(term)
 	err := outside.AwaitError(func(done func(error)) { e.config.Store.RevokeLease(lease, storeTimeout, done) })
-	e.config.Logger.Info().Int64("token", term.Token).Bool("told_orders", told).AnErr("error", err).Msg("term handed over")
+	e.config.Logger.Info().Int64("token", term.Token).Bool("told_orders", handedOver).AnErr("error", err).Msg("term handed over")
 }
 
-// tellRecent ends this node's record as holder, and tells the successor which
-// servers were ordered lately, if this node was the last one that could order and
-// knows all of them. Otherwise the successor waits for the whole turn.
-func (e *Election) tellRecent(term *Term) bool {
-	recent, complete := term.turns.recent(time.Now())
-	if !complete || !term.hasEntered() {
+// handOver deletes this node's record as holder and leaves its successor the list of servers
+// that were sent orders recently. It does so only if this node is the last active holder and
+// its list is complete; otherwise it returns false, and the successor waits for the whole
+// handover period at all servers.
+func (e *Election) handOver(term *Term) bool {
+	recent, complete := term.history.recent(time.Now())
+	if !complete || !term.isActive() {
 		return false
 	}
-	record := e.self()
+	record := e.ownRecord()
 	record.Resigned, record.Recent = true, recent
 	value, err := json.Marshal(record)
 	if err != nil {
@@ -253,7 +264,8 @@
 	return err == nil
 }
 
-// Run takes part until ctx ends.
+// Run campaigns when there is no holder, and keeps the lease while this node is the holder,
+// until ctx ends.
 func (e *Election) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed, vacancy := e.vacancy()
@@ -263,21 +275,21 @@
 		}
 		e.wait(ctx, nil, e.campaignDelay(*vacancy))
 		if _, vacancy = e.vacancy(); vacancy == nil {
-			// Another node was first meanwhile.
+			// Another node has become the holder meanwhile.
 			continue
 		}
 		term, err := e.campaign(*vacancy)
 		if err != nil {
 			e.config.Logger.Debug().Err(err).Msg("not holder")
-			e.wait(ctx, changed, campaignPause)
+			e.wait(ctx, changed, campaignRetryPause)
 			continue
 		}
-		e.keep(ctx, term)
+		e.keepLease(ctx, term)
 	}
 }
 
-// campaignDelay is the wait before a campaign. Nobody competes for the record of a
-// process before this one.
+// campaignDelay returns the wait before a campaign. The extra wait does not apply to the record
+// of an earlier process of this node, since no other node competes for it.
 func (e *Election) campaignDelay(at vacancy) time.Duration {
 	wait := campaignWait(rand.Float64())
 	if at.holderRevision == 0 {
@@ -286,17 +298,18 @@
 	return wait
 }
 
-// campaignWait is how long a node waits before it campaigns, by a random number
-// from 0 to 1. The waits are spread so that, whatever the number of nodes, few of
-// them end before the first one's record is known to the others (Nonnenmacher and
-// Biersack, Optimal Multicast Feedback, INFOCOM 1998).
+// campaignWait returns how long a node waits before it campaigns, by a random number from 0 to
+// 1. The waits are distributed so that, whatever the number of nodes, few of them end before
+// the record of the first one reaches the others (Nonnenmacher and Biersack, Optimal Multicast
+// Feedback, INFOCOM 1998).
 func campaignWait(random float64) time.Duration {
 	share := 1 + math.Log(max(random, 1.0/campaignNodes))/math.Log(campaignNodes)
-	return time.Duration(share * float64(campaignSpread))
+	return time.Duration(share * float64(maxCampaignWait))
 }
 
-func (e *Election) wait(ctx context.Context, changed <-chan struct{}, longest time.Duration) {
-	timer := time.NewTimer(longest)
+// wait returns on a change, or when the time has passed or ctx has ended.
+func (e *Election) wait(ctx context.Context, changed <-chan struct{}, limit time.Duration) {
+	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/orders/engines.go
+++ b/internal/orders/engines.go
@@ -7,58 +7,62 @@
 	"github.com/hatchplank/hatchplank/internal/placement"
 )
 
-// Order is one order to one server.
+// Order is an order to a server: a command to load or unload a model or an adapter.
 type Order struct {
 	Server  *fleet.Server
 	Kind    placement.Kind
 	Model   string
 	Adapter string
-	// Holder and Token tell who orders.
+	// Holder is the name of the node that sends the order, and Token its term's fencing
+	// token.
 	Holder string
 	Token  int64
-	// ExpectSequence is the number of orders that the server must have taken:
-	// an order carried out late does nothing once another one was taken.
+	// ExpectSequence is the number of orders that the server must have accepted before, so
+	// that an order that arrives late has no effect once another one was accepted.
 	ExpectSequence int64
 }
 
-// Reply is a server's answer to an order.
+// Reply is a server's reply to an order.
 type Reply uint8
 
 // The replies.
 const (
-	// ReplyAccepted: it is being done.
+	// ReplyAccepted means that the order is being carried out.
 	ReplyAccepted Reply = iota
-	// ReplyAlreadyApplied: what was ordered holds already.
+	// ReplyAlreadyApplied means that the server is in the ordered state already.
 	ReplyAlreadyApplied
-	// ReplyConflict: another order is under way, or others were taken before.
+	// ReplyConflict means that another order is in progress, or that the server has accepted
+	// another number of orders than expected.
 	ReplyConflict
-	// ReplyFenced: a higher token was seen.
+	// ReplyFenced means that the server has received a higher token.
 	ReplyFenced
-	// ReplyInvalid: the server does not understand the order.
+	// ReplyInvalid means that the server does not understand the order.
 	ReplyInvalid
-	// ReplyOtherInstance: another incarnation has the address.
+	// ReplyOtherInstance means that another incarnation of the server has the address.
 	ReplyOtherInstance
 )
 
-// String returns the reply's word for logs.
+// String returns the reply's name for logs and metrics.
 func (r Reply) String() string {
 	return [...]string{"accepted", "holds", "conflict", "fenced", "invalid", "other_instance"}[r]
 }
 
-// Report is what a server tells of itself.
+// Report is the state that a server reports.
 type Report struct {
+	// Sequence is the number of orders that the server has accepted.
 	Sequence int64
-	// Busy: an order is under way.
-	Busy             bool
-	Models           map[string]fleet.Held
+	// Busy is set while an order is in progress.
+	Busy   bool
+	Models map[string]fleet.Held
+	// InMemory and OnDisk are the models whose weights are cached there.
 	InMemory, OnDisk map[string]bool
 }
 
-// Engines reaches the model servers.
+// Engines calls the model servers.
 type Engines interface {
-	// Order gives one order. On an error it may have been taken, or may be
-	// carried out later.
+	// Order sends one order. After an error the server may have accepted it, or may still
+	// carry it out later.
 	Order(ctx context.Context, order Order) (Reply, error)
-	// Report asks a server for its state, which may be some 100 ms old.
+	// Report asks a server for its state. The state returned may be some 100 ms old.
 	Report(ctx context.Context, server *fleet.Server) (Report, error)
 }
--- a/internal/orders/execute.go
+++ b/internal/orders/execute.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	// orderTimeout is how long an answer to an order is waited for.
+	// orderTimeout limits the wait for the reply to an order.
 	orderTimeout = 400 * time.Millisecond
-	// reportTimeout is how long a report is waited for.
+	// reportTimeout limits the wait for a server's report.
 	reportTimeout = 400 * time.Millisecond
-	// spreadTime is left between telling the nodes that something goes and
-	// ordering it.
-	spreadTime = 8 * time.Millisecond
-	// adapterTime is how long an adapter takes until it is used.
-	adapterTime = 18 * time.Millisecond
-	// pollPeriod between reports while an order is under way.
+	// propagationTime passes between notifying the nodes of an unload and ordering it, so
+	// that they stop sending requests for it.
+	propagationTime = 8 * time.Millisecond
+	// adapterLoadTime is the time from an order to load an adapter until it can be used.
+	adapterLoadTime = 18 * time.Millisecond
+	// pollPeriod is the time between reports while an order is in progress.
 	pollPeriod = 50 * time.Millisecond
-	// reportLag is how old the state in a report may be.
-	reportLag = 120 * time.Millisecond
-	// loadPatience times the expected time is waited for a load; orderPatience is
-	// added.
-	loadPatience  = 4
-	orderPatience = 4 * time.Second
-	// suspectTime is how long nothing is planned on a server that did not answer.
+	// maxReportAge is how old the state in a report may be.
+	maxReportAge = 120 * time.Millisecond
+	// An order is waited for up to loadWaitFactor times its expected time, plus
+	// orderWaitMargin.
+	loadWaitFactor  = 4
+	orderWaitMargin = 4 * time.Second
+	// suspectTime is how long a server that did not answer is left out of plans.
 	suspectTime = 700 * time.Millisecond
-	// doubtTime is how long a load that was ordered without an answer counts as one
-	// that may come: longer than it takes to try all servers, shorter than a crowded
-	// model should wait for a replica. An estimate.
-	doubtTime = 2 * time.Second
+	// unconfirmedLoadTime is how long a load whose order got no reply counts as possibly in
+	// progress: longer than trying all servers takes, shorter than an overloaded model
+	// should wait for a replica. The value is an estimate.
+	unconfirmedLoadTime = 2 * time.Second
 )
 
-// execute gives one order and follows it to its end. The entry is working
+// execute sends one order and waits until it is carried out. The entry is busy
 // meanwhile.
 func (h *Holder) execute(ctx context.Context, term *Term, target *entry, action placement.Action) {
 	defer h.Wake()
 	if action.Kind == placement.Unload || action.Kind == placement.UnloadAdapter {
-		h.tellChange(target, action.Model)
-		clock.Sleep(ctx, spreadTime)
+		h.pushChange(target, action.Model)
+		clock.Sleep(ctx, propagationTime)
 	}
 	h.mutex.Lock()
 	order := Order{
@@ -59,42 +59,44 @@
 		h.finish(target, nil)
 	case err != nil || reply == ReplyConflict || reply == ReplyOtherInstance || reply == ReplyFenced || reply == ReplyInvalid:
 		if err != nil {
-			h.doubt(target, action)
+			h.noteUnconfirmedLoad(target, action)
 		}
-		// What holds now is read; an order that comes late finds another count.
-		clock.Sleep(ctx, reportLag)
+		// Reads the server's current state. Should the order still arrive late, its
+		// expected sequence number no longer matches.
+		clock.Sleep(ctx, maxReportAge)
 		h.refresh(ctx, target)
 	case action.Kind == placement.LoadAdapter || action.Kind == placement.UnloadAdapter:
-		h.adapterDone(ctx, target, action, reply)
+		h.finishAdapterOrder(ctx, target, action, reply)
 	default:
-		h.follow(ctx, target, action, order.ExpectSequence)
+		h.awaitCompletion(ctx, target, action, order.ExpectSequence)
 	}
 }
 
-// doubt notes a load that was ordered without an answer.
-func (h *Holder) doubt(target *entry, action placement.Action) {
+// noteUnconfirmedLoad records a load whose order got no reply.
+func (h *Holder) noteUnconfirmedLoad(target *entry, action placement.Action) {
 	if action.Kind != placement.Load {
 		return
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	target.doubtful, target.doubtUntil = action.Model, time.Now().Add(doubtTime)
+	target.unconfirmedLoad, target.unconfirmedUntil = action.Model, time.Now().Add(unconfirmedLoadTime)
 }
 
-// send gives the order if the term still allows it.
+// send sends the order if the server has capacity and the term still allows orders. It
+// returns false for sent if it did not send it.
 func (h *Holder) send(ctx context.Context, term *Term, order Order) (reply Reply, sent bool, err error) {
-	grant, may := h.awaitRoom(ctx, order.Server)
-	if !may {
+	grant, ok := h.awaitCapacity(ctx, order.Server)
+	if !ok {
 		return 0, false, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	// The term is asked last, since waiting for room may have taken time.
-	if !term.begin(order.Server.ID, time.Now()) {
+	// The term is checked last, since the wait for capacity may have taken time.
+	if !term.beginOrder(order.Server.ID, time.Now()) {
 		h.config.Limits.Return(grant)
 		return 0, false, nil
 	}
-	defer term.done(order.Server.ID)
+	defer term.endOrder(order.Server.ID)
 	reply, err = h.config.Engines.Order(ctx, order)
 	return reply, true, err
 }
@@ -103,11 +105,11 @@
 	if h.config.OnOrder == nil || !sent {
 		return
 	}
-	word := reply.String()
+	result := reply.String()
 	if err != nil {
-		word = "none"
+		result = "none"
 	}
-	h.config.OnOrder(action.Kind.String(), word)
+	h.config.OnOrder(action.Kind.String(), result)
 }
 
 func (h *Holder) logOrder(order Order, action placement.Action, reply Reply, sent bool, err error) {
@@ -119,7 +121,7 @@
 	}
 	switch {
 	case !sent:
-		event.Msg("order not sent: the term is over, or the server wants nothing")
+		event.Msg("order not sent: the term ended, or the server has no capacity for it")
 	case err != nil:
 		event.Err(err).Msg("order without an answer")
 	default:
@@ -127,11 +129,11 @@
 	}
 }
 
-// adapterDone takes over an order about an adapter, which takes no time worth
-// asking for.
-func (h *Holder) adapterDone(ctx context.Context, target *entry, action placement.Action, reply Reply) {
+// finishAdapterOrder applies an order for an adapter to the entry without polling for
+// reports, since such an order completes at once.
+func (h *Holder) finishAdapterOrder(ctx context.Context, target *entry, action placement.Action, reply Reply) {
 	if action.Kind == placement.LoadAdapter && reply == ReplyAccepted {
-		clock.Sleep(ctx, adapterTime)
+		clock.Sleep(ctx, adapterLoadTime)
 	}
 	h.mutex.Lock()
 	if reply == ReplyAccepted || action.Kind == placement.UnloadAdapter {
@@ -139,33 +141,34 @@
 	}
 	if held := target.models[action.Model]; held != nil && action.Kind == placement.LoadAdapter {
 		held.adapters[action.Adapter] = true
-		h.ledger.changed(target)
+		h.servers.markChanged(target)
 	}
-	target.working, target.loadingAdapter = false, ""
+	target.busy, target.loadingAdapter = false, ""
 	h.mutex.Unlock()
-	h.tellChange(target, action.Model)
+	h.pushChange(target, action.Model)
 }
 
-// follow asks for reports until the order was carried out.
-func (h *Holder) follow(ctx context.Context, target *entry, action placement.Action, sequence int64) {
+// awaitCompletion polls for reports until the order has been carried out or its wait limit
+// has passed.
+func (h *Holder) awaitCompletion(ctx context.Context, target *entry, action placement.Action, sequence int64) {
 	started := time.Now()
 	fromStore := action.Kind == placement.Load && action.Source == placement.FromStore
-	underWay := h.storeLoadCount()
+	inProgress := h.storeLoadCount()
 	first := pollPeriod
 	if action.Kind == placement.Load {
-		first = action.Expected + reportLag/2
+		first = action.Expected + maxReportAge/2
 	}
-	deadline := started.Add(loadPatience*action.Expected + orderPatience)
+	deadline := started.Add(loadWaitFactor*action.Expected + orderWaitMargin)
 	clock.Sleep(ctx, first)
 	for ctx.Err() == nil && time.Now().Before(deadline) {
-		report, err := h.report(ctx, target)
+		report, err := h.fetchReport(ctx, target)
 		if err == nil && report.Sequence > sequence && !report.Busy {
 			if fromStore {
-				h.storeLoadEnded(action, time.Since(started)-reportLag, underWay)
+				h.observeStoreLoad(action, time.Since(started)-maxReportAge, inProgress)
 			}
 			h.finish(target, &report)
-			h.noteReason(target, action)
-			h.tellChange(target, action.Model)
+			h.recordReason(target, action)
+			h.pushChange(target, action.Model)
 			return
 		}
 		if err != nil && h.config.View.Load().Servers[action.Server] == nil {
@@ -181,26 +184,27 @@
 func (h *Holder) storeLoadCount() int {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.ledger.storeLoads(time.Now()).count
+	return h.servers.storeLoads(time.Now()).count
 }
 
-// storeLoadEnded learns how many loads the store serves at full speed.
-func (h *Holder) storeLoadEnded(action placement.Action, took time.Duration, underWay int) {
+// observeStoreLoad passes the duration of a load from the weight store to the limiter, which
+// measures how many loads the store serves at full speed.
+func (h *Holder) observeStoreLoad(action placement.Action, took time.Duration, inProgress int) {
 	if action.Expected <= 0 {
 		return
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	before := h.ceiling.atOnce
-	h.ceiling.ended(took.Seconds()/action.Expected.Seconds(), underWay)
-	if h.ceiling.atOnce != before {
-		h.config.Logger.Info().Int("at_once", h.ceiling.atOnce).Int("before", before).Int("under_way", underWay).
+	before := h.loadLimiter.maxConcurrent
+	h.loadLimiter.observe(took.Seconds()/action.Expected.Seconds(), inProgress)
+	if h.loadLimiter.maxConcurrent != before {
+		h.config.Logger.Info().Int("at_once", h.loadLimiter.maxConcurrent).Int("before", before).Int("under_way", inProgress).
 			Dur("took_ms", took).Dur("expected_ms", action.Expected).Msg("loads from the store at once")
 	}
 }
 
-// noteReason keeps why a model was loaded.
-func (h *Holder) noteReason(target *entry, action placement.Action) {
+// recordReason records why a model was loaded.
+func (h *Holder) recordReason(target *entry, action placement.Action) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if held := target.models[action.Model]; held != nil && action.Kind == placement.Load {
@@ -208,34 +212,37 @@
 	}
 }
 
-func (h *Holder) report(ctx context.Context, target *entry) (Report, error) {
+// fetchReport asks a server for a report, within the server's rate limit.
+func (h *Holder) fetchReport(ctx context.Context, target *entry) (Report, error) {
 	server := h.serverOf(target)
-	if _, may := h.awaitRoom(ctx, server); !may {
-		return Report{}, errQuiet
+	if _, ok := h.awaitCapacity(ctx, server); !ok {
+		return Report{}, errNoCapacity
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	return h.config.Engines.Report(ctx, server)
 }
 
-// serverOf returns the server of an entry, which changes with its record.
+// serverOf returns the server of an entry. It changes with the server's record, so it is read
+// under the lock.
 func (h *Holder) serverOf(target *entry) *fleet.Server {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return target.server
 }
 
-// refresh reads what a server holds.
+// refresh updates an entry by a report from its server.
 func (h *Holder) refresh(ctx context.Context, target *entry) {
 	defer h.Wake()
-	report, err := h.report(ctx, target)
+	report, err := h.fetchReport(ctx, target)
 	if err != nil {
 		h.config.Logger.Warn().Str("server", h.serverOf(target).ID).Err(err).Msg("no report")
 		h.finish(target, nil)
 		return
 	}
 	if report.Busy {
-		// An order of somebody is under way; it is looked at again soon.
+		// Another order is in progress, for example an earlier holder's; the server is
+		// asked again soon.
 		h.config.Logger.Info().Str("server", h.serverOf(target).ID).Int64("sequence", report.Sequence).Msg("server is busy")
 		h.finish(target, nil)
 		return
@@ -244,7 +251,7 @@
 	h.finish(target, &report)
 }
 
-// logReport tells what a server holds where its record says something else.
+// logReport logs a report that differs from the server's record.
 func (h *Holder) logReport(target *entry, report Report) {
 	if sameModels(report.Models, h.serverOf(target).Recorded()) {
 		return
@@ -254,17 +261,17 @@
 		Strs("on_disk", slices.Sorted(maps.Keys(report.OnDisk))).Msg("server reported")
 }
 
-// finish ends the work on an entry. Without a report the server is suspect for
-// a while and then asked again.
+// finish marks the order or report of an entry as ended. Without a report the server is
+// suspect for suspectTime and is then asked again.
 func (h *Holder) finish(target *entry, report *Report) {
 	now := time.Now()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	target.working, target.loading, target.unloading, target.loadingAdapter = false, "", "", ""
+	target.busy, target.loading, target.unloading, target.loadingAdapter = false, "", "", ""
 	if report == nil {
-		target.known = false
+		target.reported = false
 		target.suspectUntil = now.Add(suspectTime)
 		return
 	}
-	h.ledger.reported(target, *report, now)
+	h.servers.applyReport(target, *report, now)
 }
--- a/internal/orders/holder.go
+++ b/internal/orders/holder.go
@@ -17,22 +17,23 @@
 )
 
 const (
-	// planPeriod is the longest time between two plans.
+	// planPeriod is the maximum time between two plans.
 	planPeriod = 150 * time.Millisecond
-	// planPause is the shortest, and planPauseFactor times what the last plan took is
-	// the least, so that plans take a fifth of the holder's time at most. A pause for
-	// each node instead was 0.1 s at 985 nodes, in each order that a caller waits for.
-	planPause       = 4 * time.Millisecond
+	// The pause before a plan is minPlanPause or planPauseFactor times the duration of the
+	// last plan, whichever is longer, so that plans take at most a fifth of the holder's
+	// time. A pause proportional to the number of nodes added 0.1 s, with 985 nodes, to
+	// each order that a caller waits for.
+	minPlanPause    = 4 * time.Millisecond
 	planPauseFactor = 4
-	// pushPauseEach, for each node, is left between updates to all nodes.
-	pushPauseEach = 500 * time.Microsecond
-	// toldAll is the most nodes that are told of every change, some 20 ms of work on
-	// 0.4 of a core. Of more, those are told at once that ask for the model, and the
-	// others with their next report: 985 nodes that see 0.25 requests a second each
-	// use next to nothing of what they are told.
-	toldAll = 100
-	// termPeriod between looks for a term.
-	termPeriod = 50 * time.Millisecond
+	// pushPausePerNode times the number of nodes passes between updates to all nodes.
+	pushPausePerNode = 500 * time.Microsecond
+	// maxPushedNodes is the largest number of nodes that are all sent every change, which
+	// takes some 20 ms on 0.4 of a core. With more nodes, a change is sent immediately
+	// to those that request the model, and to the others in the reply to their next
+	// report: 985 nodes with 0.25 requests a second each hardly use any of the updates.
+	maxPushedNodes = 100
+	// termPollPeriod is the time between checks whether this node has a term.
+	termPollPeriod = 50 * time.Millisecond
 )
 
 // HolderConfig configures a Holder.
@@ -42,54 +43,57 @@
 	Engines  Engines
 	// Name of this node.
 	Name string
-	// Counters are the nodes that count limits as this node knows.
+	// Counters returns the nodes that count rate limits, as known to this node.
 	Counters func() ratelimit.Counters
-	// SavedCounters keeps them in the store.
+	// CountersStore saves the list of counting nodes in the store.
 	SavedCounters *CountersStore
-	// Notices are what servers told this node, or another one: backoffs and limits.
+	// Notices are the backoffs and rate limits that servers sent to this node or another one.
 	Notices *notice.Board
-	// Limits keep what is sent to servers within the limits that they named.
+	// Limits keeps the load on servers within the rate limits that they announced.
 	Limits forward.Limits
 	// LoadRate bounds the loads from the weight store.
 	LoadRate LoadRateLimits
-	// LoadAhead: models that no server holds are loaded before they are asked for.
+	// LoadAhead makes the holder load models that no server holds before they are requested.
 	LoadAhead bool
 	// Push sends an update to a node; it must not block.
 	Push func(address string, update Update)
-	// OnOrder is called with each order that was sent, and its reply; nil: not
-	// called.
+	// OnOrder is called with the kind of each order that was sent and its reply, "none" if
+	// there was no reply; may be nil.
 	OnOrder func(order, reply string)
 	Logger  zerolog.Logger
 }
 
-// Holder plans and orders while this node holds the term.
+// Holder plans placements and sends orders during this node's terms. It is safe for concurrent
+// use.
 type Holder struct {
 	config HolderConfig
-	demand *demandBook
+	demand *demandTracker
 	wake   chan struct{}
 
-	mutex  sync.Mutex
-	term   *Term
-	ledger *ledger
-	asking *asking
-	// pushed is the version that was pushed last, at pushedAt.
-	pushed   uint64
-	pushedAt time.Time
-	ceiling  *ceiling
-	promises *promises
-	// began is when the term did; counters are the nodes that count limits in it.
-	began    time.Time
-	counters ratelimit.Counters
-	// countersHeardAt is when more than half of them were last heard, or the term began.
-	countersHeardAt time.Time
-	// limitsPushed is the version of servers' limits that was pushed last, at limitsPushedAt.
+	mutex   sync.Mutex
+	term    *Term
+	servers *serverTable
+	reports *reportQueue
+	// pushedVersion is the placement version that was pushed last, at pushedAt.
+	pushedVersion uint64
+	pushedAt      time.Time
+	loadLimiter   *loadLimiter
+	estimates     *readyEstimates
+	// termStart is when the term began; counters are the nodes that count rate limits in it.
+	termStart time.Time
+	counters  ratelimit.Counters
+	// countersMajorityAt is when more than half of the counting nodes last reported, or the
+	// term began.
+	countersMajorityAt time.Time
+	// limitsPushed is the version of the servers' rate limits that was pushed last, at
+	// limitsPushedAt.
 	limitsPushed   uint64
 	limitsPushedAt time.Time
 }
 
-// NewHolder returns a holder; Run makes it work.
+// NewHolder returns a holder, which starts to work when Run is called.
 func NewHolder(config HolderConfig) *Holder {
-	return &Holder{config: config, demand: newDemandBook(), wake: make(chan struct{}, 1), ledger: newLedger(), asking: &asking{}, promises: newPromises()}
+	return &Holder{config: config, demand: newDemandTracker(), wake: make(chan struct{}, 1), servers: newServerTable(), reports: &reportQueue{}, estimates: newReadyEstimates()}
 }
 
 // Run plans and orders during this node's terms until ctx ends.
@@ -97,20 +101,20 @@
 	for ctx.Err() == nil {
 		term := h.config.Election.Term()
 		if term == nil {
-			clock.Sleep(ctx, termPeriod)
+			clock.Sleep(ctx, termPollPeriod)
 			continue
 		}
-		h.lead(ctx, term)
+		h.runTerm(ctx, term)
 	}
 }
 
-// lead works during one term.
-func (h *Holder) lead(ctx context.Context, term *Term) {
+// runTerm plans and orders until the term or ctx ends.
+func (h *Holder) runTerm(ctx context.Context, term *Term) {
 	h.mutex.Lock()
-	h.term, h.ledger, h.pushed, h.asking = term, newLedger(), 0, &asking{}
-	h.ceiling, h.promises = newCeiling(h.config.LoadRate), newPromises()
-	h.began, h.counters = time.Now(), ratelimit.Counters{}
-	h.countersHeardAt, h.limitsPushed = h.began, 0
+	h.term, h.servers, h.pushedVersion, h.reports = term, newServerTable(), 0, &reportQueue{}
+	h.loadLimiter, h.estimates = newLoadLimiter(h.config.LoadRate), newReadyEstimates()
+	h.termStart, h.counters = time.Now(), ratelimit.Counters{}
+	h.countersMajorityAt, h.limitsPushed = h.termStart, 0
 	h.mutex.Unlock()
 	defer func() {
 		h.mutex.Lock()
@@ -126,10 +130,10 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-term.Over():
+		case <-term.Done():
 			return
 		case <-h.wake:
-			clock.Sleep(ctx, max(planPause, planPauseFactor*took))
+			clock.Sleep(ctx, max(minPlanPause, planPauseFactor*took))
 		case <-timer.C:
 		}
 		started := time.Now()
@@ -139,17 +143,18 @@
 	}
 }
 
-// Origins tells why each model is where it is; nil while this node holds no term.
+// Origins returns since when and why each server holds its models; nil while this node has
+// no term.
 func (h *Holder) Origins() inspect.Origins {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.term == nil {
 		return nil
 	}
-	return h.ledger.origins()
+	return h.servers.origins()
 }
 
-// Wake makes a plan soon.
+// Wake makes the holder plan soon.
 func (h *Holder) Wake() {
 	select {
 	case h.wake <- struct{}{}:
@@ -157,7 +162,7 @@
 	}
 }
 
-// tick asks for reports, plans, and starts the orders.
+// tick requests outstanding reports, plans, starts the orders, and pushes changes to nodes.
 func (h *Holder) tick(ctx context.Context, term *Term) {
 	snapshot := h.config.View.Load()
 	if snapshot.Configuration == nil {
@@ -165,7 +170,7 @@
 	}
 	now := time.Now()
 	h.mutex.Lock()
-	h.ask(ctx, h.ledger.sync(snapshot, now), now)
+	h.requestReports(ctx, h.servers.sync(snapshot, now), now)
 	if term.MayOrder(now) {
 		for name, pool := range snapshot.Configuration.Pools {
 			if pool.Engine != nil {
@@ -173,56 +178,56 @@
 			}
 		}
 	}
-	changed := h.promises.takeChanged()
+	changed := h.estimates.takeChanged()
 	h.mutex.Unlock()
 	h.push(now)
-	h.pushPromises(term, changed, now)
+	h.pushEstimates(term, changed, now)
 	h.pushLimits(term, now)
-	if term.leads(now) {
+	if term.leaseValid(now) {
 		h.chooseCounters(term, now)
 	}
 }
 
-// plan must be called with the lock held.
+// plan plans one pool and starts its orders. It must be called with the lock held.
 func (h *Holder) plan(ctx context.Context, term *Term, pool string, engine *fleet.Engine, now time.Time) {
-	underWay := h.ledger.storeLoads(now)
-	h.ceiling.expect(engine.LongestLoad())
-	demand := h.demand.ofPool(pool, now)
-	sample := h.ledger.sample(pool, demand, now)
+	inProgress := h.servers.storeLoads(now)
+	h.loadLimiter.limitInitialConcurrency(engine.LongestLoad())
+	demand := h.demand.poolDemand(pool, now)
+	sample := h.servers.sample(pool, demand, now)
 	input := placement.Input{
-		Now: now, Engine: engine, Servers: sample.servers, Elsewhere: sample.elsewhere, ServersElsewhere: sample.left,
-		Demand: demand, LoadAhead: h.config.LoadAhead, StoreLoads: h.ceiling.available(engine.LoadsPerSecond, underWay, now),
-		StoreNextIn: h.ceiling.nextIn(engine.LoadsPerSecond, underWay),
+		Now: now, Engine: engine, Servers: sample.servers, Elsewhere: sample.elsewhere, ServersElsewhere: sample.leftOut,
+		Demand: demand, LoadAhead: h.config.LoadAhead, StoreLoads: h.loadLimiter.available(engine.LoadsPerSecond, inProgress, now),
+		StoreNextIn: h.loadLimiter.nextIn(engine.LoadsPerSecond, inProgress),
 	}
 	for i := range input.Servers {
 		server := &input.Servers[i]
-		listed := h.ledger.entries[server.ID].server
+		listed := h.servers.entries[server.ID].server
 		limit := h.config.Notices.Limit(listed)
 		server.Limited, server.MostPerSecond = limit.Named, limit.PerSecond
-		backoff := h.backoffLeft(listed, now)
-		if wait := max(term.turns.remaining(server.ID, now), backoff); wait > 0 {
+		backoff := h.remainingBackoff(listed, now)
+		if wait := max(term.history.remaining(server.ID, now), backoff); wait > 0 {
 			server.Busy, server.FreeIn = true, max(server.FreeIn, wait)
 		}
 	}
 	planned := placement.Plan(&input)
-	h.promises.update(pool, planned.ReadyIn, now)
+	h.estimates.update(pool, planned.ReadyIn, now)
 	for _, action := range planned.Actions {
-		target := h.ledger.entries[action.Server]
+		target := h.servers.entries[action.Server]
 		if !h.allowed(target, engine, action) {
 			continue
 		}
 		if action.Kind == placement.Load && action.Source == placement.FromStore {
-			h.ceiling.take()
+			h.loadLimiter.take()
 		}
-		h.begin(target, action, now)
+		h.noteOrder(target, action, now)
 		go h.execute(ctx, term, target, action)
 	}
 }
 
-// allowed checks an action against what a server can hold, whatever the plan
-// says. It must be called with the lock held.
+// allowed checks an action against what the server can hold, independently of the planner.
+// It must be called with the lock held.
 func (h *Holder) allowed(target *entry, engine *fleet.Engine, action placement.Action) bool {
-	if target == nil || target.working || !target.known {
+	if target == nil || target.busy || !target.reported {
 		return false
 	}
 	switch action.Kind {
@@ -238,9 +243,10 @@
 	return true
 }
 
-// begin notes an order before it is sent. It must be called with the lock held.
-func (h *Holder) begin(target *entry, action placement.Action, now time.Time) {
-	target.working, target.busyUntil = true, now.Add(action.Expected)
+// noteOrder applies an order to its entry before the order is sent. It must be called with
+// the lock held.
+func (h *Holder) noteOrder(target *entry, action placement.Action, now time.Time) {
+	target.busy, target.busyUntil = true, now.Add(action.Expected)
 	switch action.Kind {
 	case placement.Load:
 		target.loading, target.source, target.intent = action.Model, action.Source, ""
@@ -248,19 +254,19 @@
 		target.unloading = action.Model
 		target.intent, target.intentAt = action.Intent, now
 		delete(target.models, action.Model)
-		h.ledger.changed(target)
+		h.servers.markChanged(target)
 	case placement.LoadAdapter:
-		target.busyUntil = now.Add(adapterTime)
+		target.busyUntil = now.Add(adapterLoadTime)
 		target.loadingAdapter = action.Model + "/" + action.Adapter
 	case placement.UnloadAdapter:
 		delete(target.models[action.Model].adapters, action.Adapter)
-		h.ledger.changed(target)
+		h.servers.markChanged(target)
 	}
 }
 
-// Report takes a node's demand and returns what it does not know yet; false if
-// this node holds no term.
-func (h *Holder) Report(report DemandReport) (Update, bool) {
+// HandleReport processes a node's demand report and returns what the node does not know yet.
+// It returns false if this node has no term.
+func (h *Holder) HandleReport(report DemandReport) (Update, bool) {
 	now := time.Now()
 	h.mutex.Lock()
 	term := h.term
@@ -268,10 +274,10 @@
 	if term == nil {
 		return Update{}, false
 	}
-	h.demand.take(report, now)
-	for _, life := range report.Leaving {
-		if h.config.View.SetLeaving(life) {
-			h.config.Logger.Info().Str("server", life.ID).Int64("born", life.Born).Str("told_by", report.Node).Msg("server leaves, as it told a node")
+	h.demand.add(report, now)
+	for _, server := range report.Leaving {
+		if h.config.View.SetLeaving(server) {
+			h.config.Logger.Info().Str("server", server.ID).Int64("born", server.Born).Str("told_by", report.Node).Msg("server leaves, as it told a node")
 		}
 	}
 	h.config.Notices.TellLimits(report.Limits, report.Node)
@@ -280,9 +286,9 @@
 	if report.Token != term.Token {
 		after, limitsAfter = 0, 0
 	}
-	update := h.update(term, after, report.waitsFor(), now)
+	update := h.update(term, after, report.awaitedModels(), now)
 	update.LimitsBase = limitsAfter
 	update.Limits, update.LimitsVersion = h.config.Notices.Limits(limitsAfter)
-	update.Counters = h.countersUnknownTo(report)
+	update.Counters = h.countersFor(report)
 	return update, true
 }
--- a/internal/orders/ledger.go
+++ b/internal/orders/ledger.go
@@ -11,118 +11,126 @@
 	"github.com/hatchplank/hatchplank/internal/placement"
 )
 
-// entry is what the holder knows of one server. The ledger's lock guards it.
+// entry is the holder's state of one server. The holder's lock guards it.
 type entry struct {
 	server *fleet.Server
-	// known: the server has reported since this term began.
-	known bool
-	// sequence is the number of orders that the server has taken.
+	// reported is set once the server has reported in this term, until an order or a call for
+	// a report ends without one.
+	reported bool
+	// sequence is the number of orders that the server has accepted.
 	sequence   int64
 	reportedAt time.Time
 	models     map[string]*heldModel
 	inMemory   map[string]bool
 	onDisk     map[string]bool
-	// working: an order or a report is under way.
-	working bool
-	// loading and where its weights come from; unloading still takes memory.
+	// busy is set while an order or a call for a report is in progress.
+	busy bool
+	// loading is the model being loaded, and source where its weights come from.
 	loading string
 	source  placement.Source
-	// loadingAdapter is on its way, as MODEL/NAME.
+	// loadingAdapter is the adapter being loaded, as MODEL/NAME.
 	loadingAdapter string
-	// busyUntil is the expected end of the order or report under way.
-	busyUntil    time.Time
-	unloading    string
-	intent       string
-	intentAt     time.Time
+	// busyUntil is the expected end of the order or call in progress.
+	busyUntil time.Time
+	// unloading is the model being unloaded, which still takes memory.
+	unloading string
+	// intent is the model for which another one was unloaded, at intentAt.
+	intent   string
+	intentAt time.Time
+	// suspectUntil is when a server that did not answer is asked again.
 	suspectUntil time.Time
-	// doubtful is a model that the server was ordered to load without an answer, up
-	// to doubtUntil.
-	doubtful   string
-	doubtUntil time.Time
-	// version of the placement at which models changed.
+	// unconfirmedLoad is a model whose load was ordered without a reply. It counts as
+	// possibly in progress until unconfirmedUntil.
+	unconfirmedLoad  string
+	unconfirmedUntil time.Time
+	// version is the placement version at which models last changed.
 	version uint64
 }
 
 // heldModel is a model that a server holds and may be sent requests for.
 type heldModel struct {
-	// since when it is there; zero if this holder found it at first.
+	// since is when the model became available; zero if it was there at the server's first
+	// report to this holder.
 	since    time.Time
 	adapters map[string]bool
-	// reason for which it was loaded.
+	// reason is why the model was loaded.
 	reason string
 }
 
-// reasonFound: the server held the model when this holder first asked it.
+// reasonFound is the reason of models that a server held at its first report to this holder.
 const reasonFound = "found there"
 
-// intentLifetime is how long room that was made is kept for its model.
+// intentLifetime is how long memory that was freed for a model is reserved for it.
 const intentLifetime = 3 * time.Second
 
-// ledger is what the holder knows of all model servers.
-type ledger struct {
+// serverTable is the holder's state of all model servers. The holder's lock guards it.
+type serverTable struct {
+	// entries by server ID.
 	entries map[string]*entry
+	// version of the placement grows with each change.
 	version uint64
-	// changes are the entries that changed, in order of the versions at which they did;
-	// one that changed once more stands in it twice.
+	// changes lists the entries that changed, in order of version. An entry is listed again
+	// each time that it changes.
 	changes []changedEntry
-	// byPool are the IDs of each pool's servers in order; nil: to be made.
+	// byPool caches the sorted IDs of each pool's servers; nil if it must be rebuilt.
 	byPool map[string][]string
-	// turn is where the next sample of a large pool begins.
-	turn int
+	// sampleStart is where the next sample of a large pool begins.
+	sampleStart int
 }
 
-// changedEntry is an entry that changed at a version.
+// changedEntry records that an entry changed at a version.
 type changedEntry struct {
 	version uint64
 	id      string
 }
 
-func newLedger() *ledger { return &ledger{entries: map[string]*entry{}} }
+func newServerTable() *serverTable { return &serverTable{entries: map[string]*entry{}} }
 
-// sync takes over which servers there are. It returns those to be asked for a
+// sync updates the entries to the servers of the snapshot. It returns those to be asked for a
 // report.
-func (l *ledger) sync(snapshot *fleet.Snapshot, now time.Time) []*entry {
+func (t *serverTable) sync(snapshot *fleet.Snapshot, now time.Time) []*entry {
 	var ask []*entry
 	for id, server := range snapshot.Servers {
 		pool := snapshot.Configuration.Pools[server.Pool]
 		if pool == nil || pool.Engine == nil {
 			continue
 		}
-		found := l.entries[id]
+		found := t.entries[id]
 		if found == nil {
 			found = &entry{models: map[string]*heldModel{}}
-			l.entries[id] = found
-			l.byPool = nil
+			t.entries[id] = found
+			t.byPool = nil
 		}
 		if found.server != nil && found.server.Pool != server.Pool {
-			l.byPool = nil
+			t.byPool = nil
 		}
 		if found.server != nil && found.server.Created != server.Created {
-			// Nodes drop what they were told of the record before.
-			l.changed(found)
+			// The record was written anew, and nodes drop the placement that belongs to
+			// the earlier one.
+			t.markChanged(found)
 		}
 		found.server = server
-		if found.stale() && !found.working && !server.Draining && !now.Before(found.suspectUntil) {
+		if found.stale() && !found.busy && !server.Draining && !now.Before(found.suspectUntil) {
 			ask = append(ask, found)
 		}
 	}
-	for id := range l.entries {
-		if snapshot.Servers[id] == nil && !l.entries[id].working {
-			delete(l.entries, id)
-			l.byPool = nil
+	for id := range t.entries {
+		if snapshot.Servers[id] == nil && !t.entries[id].busy {
+			delete(t.entries, id)
+			t.byPool = nil
 		}
 	}
 	return ask
 }
 
-// recordLag is how late a server's record may show what it holds.
+// recordLag is how late a server's record may show a change of what it holds.
 const recordLag = 2500 * time.Millisecond
 
-// stale: the server has not reported in this term, or its record shows other
-// models than its last report, though it was written well after that; so an
-// order was carried out late.
+// stale reports whether the entry may be out of date: the server has not reported in this term, or
+// its record shows other models than its last report, although the record was written more than
+// recordLag after the report. The latter happens when an order is carried out late.
 func (e *entry) stale() bool {
-	if !e.known {
+	if !e.reported {
 		return true
 	}
 	if !e.server.SeenAt.After(e.reportedAt.Add(recordLag)) {
@@ -140,32 +148,32 @@
 	return false
 }
 
-// changed marks that nodes have to learn of an entry.
-func (l *ledger) changed(changed *entry) {
-	l.version++
-	changed.version = l.version
-	l.changes = append(l.changes, changedEntry{l.version, changed.server.ID})
-	if len(l.changes) > 2*len(l.entries)+minimumChanges {
-		l.changes = slices.DeleteFunc(l.changes, l.superseded)
+// markChanged records that an entry has changed and must be sent to nodes.
+func (t *serverTable) markChanged(changed *entry) {
+	t.version++
+	changed.version = t.version
+	t.changes = append(t.changes, changedEntry{t.version, changed.server.ID})
+	if len(t.changes) > 2*len(t.entries)+minChanges {
+		t.changes = slices.DeleteFunc(t.changes, t.superseded)
 	}
 }
 
-// minimumChanges are kept before those that are superseded are dropped.
-const minimumChanges = 1024
+// minChanges is the number of changes up to which superseded ones are not removed.
+const minChanges = 1024
 
-// superseded: the entry changed once more, or is gone.
-func (l *ledger) superseded(change changedEntry) bool {
-	found := l.entries[change.id]
+// superseded reports whether the entry has changed again since, or was removed.
+func (t *serverTable) superseded(change changedEntry) bool {
+	found := t.entries[change.id]
 	return found == nil || found.version != change.version
 }
 
-// reported takes a report over. It is not called while an order is under way,
-// but for the report that ends it.
-func (l *ledger) reported(to *entry, report Report, now time.Time) {
+// applyReport updates an entry by a report. It is not called while an order is in progress, except
+// with the report that ends the order.
+func (t *serverTable) applyReport(to *entry, report Report, now time.Time) {
 	models := make(map[string]*heldModel, len(report.Models))
 	since := now
 	if to.reportedAt.IsZero() {
-		// What this holder finds at first may have been there for long.
+		// Models in the first report may have been there for long.
 		since = time.Time{}
 	}
 	for name, held := range report.Models {
@@ -179,28 +187,28 @@
 		}
 		models[name] = kept
 	}
-	to.models, to.sequence, to.known = models, report.Sequence, true
+	to.models, to.sequence, to.reported = models, report.Sequence, true
 	to.reportedAt = now
 	to.inMemory, to.onDisk = report.InMemory, report.OnDisk
 	if to.version > 0 || !sameModels(report.Models, to.server.Recorded()) {
-		l.changed(to)
+		t.markChanged(to)
 	}
 }
 
-// sameModels: the record shows just what the server holds, so that nodes need not
-// be told.
+// sameModels reports whether the record shows exactly the models and adapters that the server
+// holds, so that nodes need no update.
 func sameModels(models, record map[string]fleet.Held) bool {
 	return maps.EqualFunc(models, record, func(held, recorded fleet.Held) bool {
 		return maps.Equal(held.Adapters, recorded.Adapters)
 	})
 }
 
-// states returns the entries that changed after the version.
-func (l *ledger) states(after uint64) []ServerState {
+// statesAfter returns the state of the entries that changed after the version, in order of ID.
+func (t *serverTable) statesAfter(after uint64) []ServerState {
 	var states []ServerState
-	first := sort.Search(len(l.changes), func(i int) bool { return l.changes[i].version > after })
-	for _, change := range l.changes[first:] {
-		if found := l.entries[change.id]; !l.superseded(change) && found.known {
+	first := sort.Search(len(t.changes), func(i int) bool { return t.changes[i].version > after })
+	for _, change := range t.changes[first:] {
+		if found := t.entries[change.id]; !t.superseded(change) && found.reported {
 			states = append(states, found.state(change.id))
 		}
 	}
@@ -216,14 +224,14 @@
 	return ServerState{ID: id, Models: models, Version: e.version, Created: e.server.Created}
 }
 
-// storeLoads counts the loads from the weight store that are under way.
-func (l *ledger) storeLoads(now time.Time) storeLoads {
+// storeLoads returns the loads from the weight store that are in progress.
+func (t *serverTable) storeLoads(now time.Time) storeLoads {
 	var found storeLoads
-	for _, loading := range l.entries {
-		if loading.loading == "" || loading.source != placement.FromStore {
+	for _, candidate := range t.entries {
+		if candidate.loading == "" || candidate.source != placement.FromStore {
 			continue
 		}
-		end := loading.freeIn(now)
+		end := candidate.freeIn(now)
 		if found.count == 0 || end < found.nextEnd {
 			found.nextEnd = end
 		}
@@ -232,21 +240,22 @@
 	return found
 }
 
-func (e *entry) plannable(id string, now time.Time) placement.Server {
+// forPlanner returns the server as input of the planner.
+func (e *entry) forPlanner(id string, now time.Time) placement.Server {
 	server := placement.Server{
-		ID: id, Zone: e.server.Zone, Busy: e.working, Leaving: e.server.Draining,
-		Suspect: !e.known || now.Before(e.suspectUntil), Models: make(map[string]placement.Replica, len(e.models)),
-		Unasked: e.unasked(),
+		ID: id, Zone: e.server.Zone, Busy: e.busy, Leaving: e.server.Draining,
+		Suspect: !e.reported || now.Before(e.suspectUntil), Models: make(map[string]placement.Replica, len(e.models)),
+		Unasked: e.unreported(),
 		Loading: e.loading, LoadingAdapter: e.loadingAdapter, InMemory: e.inMemory, OnDisk: e.onDisk,
 	}
-	if e.working {
+	if e.busy {
 		server.FreeIn = e.freeIn(now)
 	}
 	if e.intent != "" && now.Sub(e.intentAt) < intentLifetime {
 		server.Intent = e.intent
 	}
-	if now.Before(e.doubtUntil) && e.models[e.doubtful] == nil {
-		server.Doubtful = e.doubtful
+	if now.Before(e.unconfirmedUntil) && e.models[e.unconfirmedLoad] == nil {
+		server.Doubtful = e.unconfirmedLoad
 	}
 	if server.Unasked {
 		server.Suspect, server.Models = false, recordedReplicas(e.server)
@@ -258,11 +267,11 @@
 	return server
 }
 
-// freeIn is the time until the order under way is expected to end. One that is
-// overdue is expected to take as long again as it is overdue.
+// freeIn returns the time until the order in progress is expected to end. An overdue order is
+// expected to take as long again as it is overdue.
 func (e *entry) freeIn(now time.Time) time.Duration { return e.busyUntil.Sub(now).Abs() }
 
-// usedMB is all memory that may be taken, also by what is on its way in or out.
+// usedMB returns the memory that may be in use, including models being loaded or unloaded.
 func (e *entry) usedMB(engine *fleet.Engine) float64 {
 	used := 0.0
 	for name, held := range e.models {
@@ -277,7 +286,8 @@
 	return used
 }
 
-// sizeOf takes an unknown model as one that fills the server.
+// sizeOf returns the memory that a model takes, in MB. An unknown model counts as filling the
+// server.
 func sizeOf(engine *fleet.Engine, name string, adapters int) float64 {
 	model := engine.Models[name]
 	if model == nil {
@@ -294,10 +304,10 @@
 	return count
 }
 
-// origins tells why each model is where it is.
-func (l *ledger) origins() inspect.Origins {
-	origins := make(inspect.Origins, len(l.entries))
-	for id, found := range l.entries {
+// origins returns since when and why each server holds its models.
+func (t *serverTable) origins() inspect.Origins {
+	origins := make(inspect.Origins, len(t.entries))
+	for id, found := range t.entries {
 		models := make(map[string]inspect.Origin, len(found.models))
 		for name, held := range found.models {
 			models[name] = inspect.Origin{Since: held.since, Reason: held.reason}
--- a/internal/orders/limits.go
+++ b/internal/orders/limits.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// limitPauseEach, for each node, is left between tellings of servers' limits to all nodes: ten
-// times what a message takes (100 of them some 20 ms on 0.4 of a core), 2 s with 985 nodes.
-const limitPauseEach = 2 * time.Millisecond
+// limitPausePerNode times the number of nodes passes between updates of servers' rate limits to
+// all nodes. It is ten times what a message takes (100 of them some 20 ms on 0.4 of a core): 2 s
+// with 985 nodes.
+const limitPausePerNode = 2 * time.Millisecond
 
-// spreadLimits tells the nodes that count what this one heard of servers' limits. The holder
-// learns of it with the report that follows.
-func (l *Link) spreadLimits() {
+// sendLimits sends the rate limits that servers sent to this node to the counting nodes. The
+// holder receives them with the report that follows.
+func (l *Link) sendLimits() {
 	l.mutex.Lock()
-	limits, version := l.config.Notices.OwnLimits(l.limitsSpread)
-	l.limitsSpread = version
+	limits, version := l.config.Notices.OwnLimits(l.limitsSent)
+	l.limitsSent = version
 	l.mutex.Unlock()
 	if len(limits) == 0 {
 		return
@@ -23,14 +24,14 @@
 	}
 }
 
-// pushLimits tells all nodes of the servers' limits that changed. Each node that learns of one
-// by itself has sent the server something it did not want: 985 nodes 985 requests.
+// pushLimits sends all nodes the servers' rate limits that changed. Otherwise each node would learn
+// of a limit only by sending the server a request above it: 985 requests with 985 nodes.
 func (h *Holder) pushLimits(term *Term, now time.Time) {
-	live := h.demand.live(now)
+	live := h.demand.liveNodes(now)
 	h.mutex.Lock()
 	after := h.limitsPushed
 	limits, version := h.config.Notices.Limits(after)
-	due := version != after && now.Sub(h.limitsPushedAt) >= time.Duration(len(live))*limitPauseEach
+	due := version != after && now.Sub(h.limitsPushedAt) >= time.Duration(len(live))*limitPausePerNode
 	if due {
 		h.limitsPushed, h.limitsPushedAt = version, now
 	}
--- a/internal/orders/link.go
+++ b/internal/orders/link.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// reportPeriod between a node's reports when nothing begins to wait, for up to
-	// nodesPerPeriod nodes.
+	// reportPeriod is the time between a node's reports when no requests begin to wait, for
+	// up to nodesPerPeriod nodes.
 	reportPeriod   = 400 * time.Millisecond
 	nodesPerPeriod = 30
-	// wantedPause collects requests that begin to wait together.
-	wantedPause = 2 * time.Millisecond
-	// callTimeout of a report.
+	// demandBatchPause batches requests that begin to wait at about the same time.
+	demandBatchPause = 2 * time.Millisecond
+	// callTimeout limits the wait for the reply to a report.
 	callTimeout = 400 * time.Millisecond
-	// forgetAfter this time, and as many periods as a report counts, without a
-	// word of the holder, its word counts no more.
-	forgetAfter = 600 * time.Millisecond
+	// The holder's placement expires after holderTimeout and reportLifetimePeriods report
+	// periods without an update from the holder.
+	holderTimeout = 600 * time.Millisecond
 )
 
 // LinkConfig configures a Link.
@@ -34,65 +34,70 @@
 	Election *Election
 	Holder   *Holder
 	View     *fleet.View
-	// Demand of this node's callers, and a signal that some began to wait.
-	Demand    func() []forward.Demand
+	// Demand returns the demand of this node's callers.
+	Demand func() []forward.Demand
+	// NewDemand returns a channel that receives when requests begin to wait.
 	NewDemand func() <-chan struct{}
-	// Notices has what servers told this node of limits, and takes over what others heard.
+	// Notices holds the rate limits that servers sent to this node, and receives those that
+	// other nodes report.
 	Notices *notice.Board
-	// SetNodes tells how many nodes share the retry budget.
+	// SetNodes is called with the number of nodes that share the retry budget.
 	SetNodes func(nodes int)
-	// Counters are the nodes that count limits for all as this node knows;
-	// SetCounters tells newer ones.
+	// Counters returns the nodes that count rate limits for all, as known to this node;
+	// SetCounters is called with newer ones.
 	Counters    func() ratelimit.Counters
-	SetCounters func(told ratelimit.Counters)
+	SetCounters func(counters ratelimit.Counters)
 	Transport   peer.Transport
-	// Name and Address of this node.
+	// Name and Address are those of this node.
 	Name, Address string
 	Logger        zerolog.Logger
 }
 
-// Link tells the holder of this node's demand, and this node of the holder's
-// placement. It implements forward.Orders.
+// Link reports this node's demand to the holder, and applies the placement that the holder
+// sends. It implements forward.Orders and is safe for concurrent use.
 type Link struct {
 	config  LinkConfig
 	started int64
 
 	mutex    sync.Mutex
 	sequence uint64
-	token    int64
-	version  uint64
-	heardAt  time.Time
-	// ordersFrom is when the holder may order, as it says.
+	// token and version are those of the newest placement received.
+	token   int64
+	version uint64
+	// updatedAt is when the holder last sent an update; zero if its placement has expired.
+	updatedAt time.Time
+	// ordersFrom is when the holder may send orders, as it reported.
 	ordersFrom time.Time
-	// unanswered: the last report that ended got no answer of a holder.
+	// unanswered is set if the last report that ended got no reply from a holder.
 	unanswered bool
-	// nodes that report, as the holder says.
+	// nodes is the number of reporting nodes that the holder sent.
 	nodes int
-	// coming is when models that no server holds are expected.
-	coming map[forward.DemandKey]time.Time
-	// arrived counts by row as told in the last report that was answered.
+	// readyTimes is when models that no server holds are expected to be ready.
+	readyTimes map[forward.DemandKey]time.Time
+	// arrived is the count of arrivals by row in the last report that was answered.
 	arrived map[forward.DemandKey]uint64
-	// limitsTold is the version of this node's own limits up to which the holder knows them,
-	// and limitsKnown that of the holder's up to which this node does.
-	limitsTold, limitsKnown uint64
-	// limitsSpread is the version up to which the nodes that count were told.
-	limitsSpread uint64
+	// limitsReported is the version up to which the holder has the rate limits that this
+	// node received from servers, and limitsReceived the version up to which this node has
+	// the holder's.
+	limitsReported, limitsReceived uint64
+	// limitsSent is the version up to which the counting nodes were sent this node's limits.
+	limitsSent uint64
 }
 
-// NewLink returns a link and registers its messages with the transport.
+// NewLink returns a link and registers its message handlers with the transport.
 func NewLink(config LinkConfig) *Link {
 	link := &Link{
 		config: config, started: time.Now().UnixNano(),
-		coming: map[forward.DemandKey]time.Time{}, arrived: map[forward.DemandKey]uint64{},
+		readyTimes: map[forward.DemandKey]time.Time{}, arrived: map[forward.DemandKey]uint64{},
 	}
 	config.Transport.Handle(DemandReport{}, link.serveReport)
 	config.Transport.Handle(Update{}, link.servePush)
 	return link
 }
 
-// serveReport answers a node's report.
+// serveReport handles a node's report; it replies NotHolder if this node has no term.
 func (l *Link) serveReport(_ string, message peer.Message, reply func(peer.Message, error)) {
-	update, holds := l.config.Holder.Report(message.(DemandReport))
+	update, holds := l.config.Holder.HandleReport(message.(DemandReport))
 	if !holds {
 		reply(NotHolder{}, nil)
 		return
@@ -100,12 +105,13 @@
 	reply(update, nil)
 }
 
+// servePush handles an update from the holder, or rate limits from another node.
 func (l *Link) servePush(from string, message peer.Message, reply func(peer.Message, error)) {
 	l.apply(message.(Update), from)
 	reply(nil, nil)
 }
 
-// Push sends an update to a node, or takes it over if the node is this one.
+// Push sends an update to a node, or applies it if the node is this one.
 func (l *Link) Push(address string, update Update) {
 	if address == l.config.Address {
 		l.apply(update, address)
@@ -114,7 +120,7 @@
 	l.config.Transport.Send(address, update)
 }
 
-// Run reports demand until ctx ends.
+// Run reports demand to the holder until ctx ends.
 func (l *Link) Run(ctx context.Context) {
 	timer := time.NewTimer(reportPeriod)
 	defer timer.Stop()
@@ -123,17 +129,18 @@
 		case <-ctx.Done():
 			return
 		case <-l.config.NewDemand():
-			clock.Sleep(ctx, wantedPause)
+			clock.Sleep(ctx, demandBatchPause)
 		case <-l.config.Notices.News():
-			l.spreadLimits()
+			l.sendLimits()
 		case <-timer.C:
 		}
 		l.report()
-		l.forget()
+		l.expirePlacement()
 		timer.Reset(l.period())
 	}
 }
 
+// period returns the current time between reports.
 func (l *Link) period() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -148,41 +155,42 @@
 	}
 	report, content := l.newReport()
 	if holder.Address == l.config.Address {
-		if update, holds := l.config.Holder.Report(report); holds {
-			l.answered(update, content, holder.Address)
+		if update, holds := l.config.Holder.HandleReport(report); holds {
+			l.reportAnswered(update, content, holder.Address)
 		}
 		return
 	}
 	l.config.Transport.Call(holder.Address, report, callTimeout, func(message peer.Message, err error) {
 		if err != nil {
-			l.config.Logger.Debug().Str("holder", holder.Name).Err(err).Msg("holder not reached")
+			l.config.Logger.Debug().Str("holder", holder.Name).Err(err).Msg("demand report got no reply from the holder")
 		}
 		update, isUpdate := message.(Update)
 		if err != nil || !isUpdate {
-			l.notAnswered()
+			l.reportFailed()
 			return
 		}
-		l.answered(update, content, holder.Address)
+		l.reportAnswered(update, content, holder.Address)
 	})
 }
 
-// reported is what the holder knows once a report was answered.
-type reported struct {
+// reportContent is what the holder has received once a report is answered.
+type reportContent struct {
 	token   int64
 	arrived map[forward.DemandKey]uint64
 	limits  uint64
 }
 
-func (l *Link) newReport() (DemandReport, reported) {
+// newReport returns the next report, with what the holder has received once it is answered.
+func (l *Link) newReport() (DemandReport, reportContent) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.sequence++
 	report := DemandReport{
 		Node: l.config.Name, Address: l.config.Address, Sequence: l.sequence, Started: l.started,
-		Token: l.token, Version: l.version, Leaving: l.config.View.Leaving(), LimitsVersion: l.limitsKnown,
+		Token: l.token, Version: l.version, Leaving: l.config.View.Leaving(), LimitsVersion: l.limitsReceived,
 	}
-	content := reported{token: l.token, arrived: map[forward.DemandKey]uint64{}}
-	report.Limits, content.limits = l.config.Notices.OwnLimits(l.limitsTold)
+	content := reportContent{token: l.token, arrived: map[forward.DemandKey]uint64{}}
+	report.Limits, content.limits = l.config.Notices.OwnLimits(l.limitsReported)
 	counters := l.config.Counters()
 	report.Counters, report.CountersToken = counters.Version, counters.Token
 	now := time.Now()
@@ -200,24 +208,27 @@
 	return report, content
 }
 
-func (l *Link) notAnswered() {
+// reportFailed records that a report got no reply from a holder.
+func (l *Link) reportFailed() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.unanswered = true
 }
 
-func (l *Link) answered(update Update, known reported, from string) {
+// reportAnswered applies the reply to a report.
+func (l *Link) reportAnswered(update Update, content reportContent, from string) {
 	l.apply(update, from)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.arrived = known.arrived
-	if known.token == l.token {
-		// A new holder is told everything with the next report.
-		l.limitsTold = max(l.limitsTold, known.limits)
+	l.arrived = content.arrived
+	if content.token == l.token {
+		// If the holder changed meanwhile, the next report sends the new one everything.
+		l.limitsReported = max(l.limitsReported, content.limits)
 	}
 }
 
-// apply takes over what the holder knows, or what another node heard of limits.
+// apply applies an update from the holder, unless it is from an earlier term, or rate limits
+// from another node.
 func (l *Link) apply(update Update, from string) {
 	if l.config.Notices.TellLimits(update.Limits, from) {
 		l.config.Holder.Wake()
@@ -230,12 +241,12 @@
 	if update.Token > l.token {
 		l.config.View.ForgetPlaced()
 		l.token, l.version = update.Token, 0
-		l.limitsTold, l.limitsKnown = 0, 0
-		clear(l.coming)
+		l.limitsReported, l.limitsReceived = 0, 0
+		clear(l.readyTimes)
 	}
 	defer l.mutex.Unlock()
 	now := time.Now()
-	l.heardAt, l.unanswered = now, false
+	l.updatedAt, l.unanswered = now, false
 	l.ordersFrom = now.Add(update.OrdersIn)
 	if update.Nodes > 0 {
 		l.nodes = update.Nodes
@@ -244,13 +255,13 @@
 		l.version = max(l.version, update.Version)
 	}
 	for _, model := range update.Coming {
-		l.coming[forward.DemandKey{Pool: model.Pool, Model: model.Model}] = now.Add(model.Remaining)
+		l.readyTimes[forward.DemandKey{Pool: model.Pool, Model: model.Model}] = now.Add(model.Remaining)
 	}
-	if update.LimitsBase <= l.limitsKnown {
-		l.limitsKnown = max(l.limitsKnown, update.LimitsVersion)
+	if update.LimitsBase <= l.limitsReceived {
+		l.limitsReceived = max(l.limitsReceived, update.LimitsVersion)
 	}
 	if len(update.Servers) > 0 {
-		l.config.View.Place(placed(update.Servers, now))
+		l.config.View.Place(placedServers(update.Servers, now))
 	}
 	if update.Nodes > 0 {
 		l.config.SetNodes(update.Nodes)
@@ -260,7 +271,8 @@
 	}
 }
 
-func placed(states []ServerState, now time.Time) []*fleet.Server {
+// placedServers returns servers with the models that the holder reports for them.
+func placedServers(states []ServerState, now time.Time) []*fleet.Server {
 	servers := make([]*fleet.Server, len(states))
 	for i, state := range states {
 		server := &fleet.Server{
@@ -274,18 +286,18 @@
 	return servers
 }
 
-// forget drops what a holder said that was not heard for long.
-func (l *Link) forget() {
+// expirePlacement drops the holder's placement if no update came for too long.
+func (l *Link) expirePlacement() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.heardAt.IsZero() || time.Since(l.heardAt) < forgetAfter+reportPeriods*reportPeriodOf(l.nodes) {
+	if l.updatedAt.IsZero() || time.Since(l.updatedAt) < holderTimeout+reportLifetimePeriods*reportPeriodOf(l.nodes) {
 		return
 	}
-	l.heardAt = time.Time{}
+	l.updatedAt = time.Time{}
 	l.version = 0
-	clear(l.coming)
+	clear(l.readyTimes)
 	l.config.View.ForgetPlaced()
-	l.config.Logger.Warn().Int64("token", l.token).Msg("holder not heard; servers' records count again")
+	l.config.Logger.Warn().Int64("token", l.token).Msg("no update from the holder; using the servers' records again")
 }
 
 // ReadyAt implements forward.Orders.
@@ -293,12 +305,12 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	model := forward.DemandKey{Pool: key.Pool, Model: key.Model}
-	ready, coming := l.coming[model]
-	if coming && time.Since(ready) > promisePast {
-		delete(l.coming, model)
+	ready, expected := l.readyTimes[model]
+	if expected && time.Since(ready) > estimateGrace {
+		delete(l.readyTimes, model)
 		return time.Time{}, false
 	}
-	return ready, coming
+	return ready, expected
 }
 
 // OrdersIn implements forward.Orders.
@@ -308,7 +320,7 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.unanswered || l.heardAt.IsZero() || time.Since(l.heardAt) >= 2*reportPeriodOf(l.nodes) {
+	if l.unanswered || l.updatedAt.IsZero() || time.Since(l.updatedAt) >= 2*reportPeriodOf(l.nodes) {
 		return 0, false
 	}
 	return max(time.Until(l.ordersFrom), 0), true
--- a/internal/orders/messages.go
+++ b/internal/orders/messages.go
@@ -1,9 +1,10 @@
-// Package orders gives the orders that make a placement real. One node at a
-// time, the holder, orders all model servers; every node tells it what its
-// callers ask for, and learns from it what the servers hold.
+// Package orders elects the node that controls the placement of models, and carries the placement
+// out. One node at a time, the holder of a lease in the store, sends orders to the model servers:
+// commands to load and unload models and adapters. All nodes report the demand of their callers
+// to the holder, and receive from it which models the servers hold.
 //
-// The servers may not check fences, so that only one holder orders a server at
-// a time rests on a lease with margins: see Term.
+// The servers may not check fencing tokens. That only one holder orders a server at a time then
+// depends on a lease with margins and on a handover period between holders: see Term.
 package orders
 
 import (
@@ -15,86 +16,90 @@
 	"github.com/hatchplank/hatchplank/internal/ratelimit"
 )
 
-// DemandRow is what one node's callers ask for by one key.
+// DemandRow is the demand of one node's callers for one row: a model of a pool, or an adapter of
+// one.
 type DemandRow struct {
 	Pool, Model, Adapter string
 	Waiting, Running     int
-	// Expected: requests that were refused may come back.
+	// Expected is set while refused requests may be retried.
 	Expected bool
 	Priority int
-	// Arrived requests since the node started.
+	// Arrived counts the requests since the node started.
 	Arrived uint64
 }
 
-// DemandReport tells the holder what a node's callers ask for.
+// DemandReport reports the demand of a node's callers to the holder.
 type DemandReport struct {
 	Node string
-	// Address of the node, for updates.
+	// Address of the node, to which updates are sent.
 	Address string
-	// Sequence grows with each report of a process; Started tells processes of
-	// one node apart, in nanoseconds of the node's clock.
+	// Sequence grows with each report of a process. Started is the start time of the process
+	// in nanoseconds of the node's clock, which identifies it among processes of the node.
 	Sequence uint64
 	Started  int64
 	Rows     []DemandRow
-	// Leaving are the servers that told the node in answers that they leave: they need
-	// replacing, and their records may say so much later.
+	// Leaving are the servers that announced in answers to this node that they shut down.
+	// They need a replacement, and their records may show it much later.
 	Leaving []fleet.Life
-	// Token and Version of the placement that the node knows.
+	// Token and Version are those of the newest placement that the node has.
 	Token   int64
 	Version uint64
-	// Limits of servers that the node heard itself since its last report that was answered,
-	// and LimitsVersion up to which it knows those of the holder's term.
+	// Limits are the servers' rate limits that the node received from servers since its last
+	// report that was answered, and LimitsVersion is the version up to which it has the
+	// limits that the holder sent in its term.
 	Limits        []notice.HeardLimit
 	LimitsVersion uint64
-	// Counters is the version of the list of nodes that count limits, and
-	// CountersToken the token of the term that it is from, as far as the node knows.
+	// Counters is the version of the node's list of nodes that count rate limits, and
+	// CountersToken the token of the term that the list is from.
 	Counters      uint64
 	CountersToken int64
 }
 
-// ServerState is what a server holds, as the holder knows.
+// ServerState is the models that a server holds, as known to the holder.
 type ServerState struct {
 	ID string
-	// Models with their adapters.
+	// Models maps each model to its adapters.
 	Models map[string][]string
-	// Version of the placement at which this changed.
+	// Version is the placement version at which this changed.
 	Version uint64
-	// Created is when the server's record came into being, as a revision of the
-	// store, as far as the holder knows.
+	// Created is the revision of the store at which the server's record was created, as
+	// known to the holder.
 	Created int64
 }
 
-// ComingState is a model that is being loaded, or that the plan will load.
-type ComingState struct {
+// ExpectedModel is a model that is being loaded, or that the plan will load.
+type ExpectedModel struct {
 	Pool, Model string
-	// Remaining time until some server is expected to hold it.
+	// Remaining is the time until some server is expected to hold it.
 	Remaining time.Duration
 }
 
-// Update tells a node what has changed. One without a token is of a node that is not the holder
-// and heard of servers' limits: not a type of its own, since a node of an earlier build closes
-// the connection on which a type comes that it does not know.
+// Update sends a node the changes that it doesn't have. One without a token is from a node that is
+// not the holder, and contains servers' rate limits. These have no message type of their own,
+// since a node of an earlier build closes a connection on which it receives an unknown type.
 type Update struct {
 	// Token of the holder's term.
 	Token   int64
 	Version uint64
-	// Base is the version after which the servers changed that are told.
+	// Base is the version after which Servers has all changes.
 	Base uint64
-	// Nodes that share the retry budget.
+	// Nodes is the number of nodes that share the retry budget.
 	Nodes int
-	// OrdersIn is the time until the holder may order: its predecessor's turn lasts.
+	// OrdersIn is the time until the holder may send orders, while its predecessor's handover
+	// period lasts.
 	OrdersIn time.Duration
 	Servers  []ServerState
-	// Coming are the models that the node's callers wait for, as far as planned.
-	Coming []ComingState
-	// Counters are the nodes that count limits for all; without addresses: not told.
+	// Coming are those models that the node's callers wait for and that are planned.
+	Coming []ExpectedModel
+	// Counters are the nodes that count rate limits for all; without addresses, the node's
+	// list stays.
 	Counters ratelimit.Counters
-	// Limits of servers that changed after LimitsBase, up to LimitsVersion.
+	// Limits are the servers' rate limits that changed after LimitsBase, up to LimitsVersion.
 	Limits                    []notice.HeardLimit
 	LimitsBase, LimitsVersion uint64
 }
 
-// NotHolder is the reply of a node that holds no term.
+// NotHolder is the reply of a node without a term to a demand report.
 type NotHolder struct{}
 
 func init() {
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -31,7 +31,7 @@
 	ginkgo.It("is kept in every window, whenever loads are asked for", func() {
 		rapid.Check(ginkgo.GinkgoT(), func(t *rapid.T) {
 			rate := rapid.Float64Range(0.5, 40).Draw(t, "rate")
-			bucket := newCeiling(limits)
+			bucket := newLoadLimiter(limits)
 			now := begin
 			var starts []time.Time
 			for range 300 {
@@ -61,10 +61,10 @@
 		const rate = 4.0
 		var begun []time.Time
 		now := time.Now()
-		current := newCeiling(limits)
+		current := newLoadLimiter(limits)
 		for step := range 1000 {
 			if step%50 == 0 {
-				current = newCeiling(limits)
+				current = newLoadLimiter(limits)
 			}
 			for range current.available(rate, storeLoads{}, now) {
 				current.take()
@@ -84,41 +84,41 @@
 	})
 
 	ginkgo.It("bounds the loads under way", func() {
-		bucket := newCeiling(limits)
+		bucket := newLoadLimiter(limits)
 		bucket.available(4, storeLoads{}, begin)
-		Expect(bucket.available(4, storeLoads{count: firstAtOnce}, begin.Add(time.Minute))).To(BeZero())
-		Expect(bucket.available(4, storeLoads{count: firstAtOnce - 1}, begin.Add(time.Minute))).To(Equal(1))
-		Expect(bucket.nextIn(4, storeLoads{count: firstAtOnce, nextEnd: 3 * time.Second})).To(Equal(3 * time.Second))
+		Expect(bucket.available(4, storeLoads{count: initialConcurrency}, begin.Add(time.Minute))).To(BeZero())
+		Expect(bucket.available(4, storeLoads{count: initialConcurrency - 1}, begin.Add(time.Minute))).To(Equal(1))
+		Expect(bucket.nextIn(4, storeLoads{count: initialConcurrency, nextEnd: 3 * time.Second})).To(Equal(3 * time.Second))
 	})
 
 	ginkgo.DescribeTable("learns how many loads the store serves at full speed", func(atOnce int) {
-		bucket := newCeiling(limits)
+		bucket := newLoadLimiter(limits)
 		for range 100 {
 			// A store that serves atOnce loads at full speed slows more of them down
 			// in proportion.
-			bucket.ended(max(1, float64(bucket.atOnce)/float64(atOnce)), bucket.atOnce)
+			bucket.observe(max(1, float64(bucket.maxConcurrent)/float64(atOnce)), bucket.maxConcurrent)
 		}
-		Expect(bucket.atOnce).To(BeNumerically(">=", atOnce*3/4))
-		Expect(bucket.atOnce).To(BeNumerically("<=", atOnce*5/4+1))
+		Expect(bucket.maxConcurrent).To(BeNumerically(">=", atOnce*3/4))
+		Expect(bucket.maxConcurrent).To(BeNumerically("<=", atOnce*5/4+1))
 	},
 		ginkgo.Entry("one", 1), ginkgo.Entry("as many as are assumed", 4), ginkgo.Entry("more", 13), ginkgo.Entry("many", 60))
 
 	ginkgo.DescribeTable("begins with as many loads as end in time if the store serves one", func(loadTime time.Duration, atOnce int) {
-		bucket := newCeiling(limits)
-		bucket.expect(loadTime)
-		Expect(bucket.atOnce).To(Equal(atOnce))
-		bucket.ended(1, atOnce)
-		learned := bucket.atOnce
-		bucket.expect(loadTime)
-		Expect(bucket.atOnce).To(Equal(learned), "what was learned stays")
+		bucket := newLoadLimiter(limits)
+		bucket.limitInitialConcurrency(loadTime)
+		Expect(bucket.maxConcurrent).To(Equal(atOnce))
+		bucket.observe(1, atOnce)
+		learned := bucket.maxConcurrent
+		bucket.limitInitialConcurrency(loadTime)
+		Expect(bucket.maxConcurrent).To(Equal(learned), "what was learned stays")
 	},
-		ginkgo.Entry("short loads", 1500*time.Millisecond, firstAtOnce), ginkgo.Entry("loads of 6 s", 6*time.Second, firstAtOnce),
-		ginkgo.Entry("long loads", 13200*time.Millisecond, 1), ginkgo.Entry("very long loads", time.Minute, 1), ginkgo.Entry("not told", time.Duration(0), firstAtOnce))
+		ginkgo.Entry("short loads", 1500*time.Millisecond, initialConcurrency), ginkgo.Entry("loads of 6 s", 6*time.Second, initialConcurrency),
+		ginkgo.Entry("long loads", 13200*time.Millisecond, 1), ginkgo.Entry("very long loads", time.Minute, 1), ginkgo.Entry("not told", time.Duration(0), initialConcurrency))
 
 	ginkgo.It("does not grow by loads that ran with few others", func() {
-		bucket := newCeiling(limits)
-		bucket.ended(1, 1)
-		Expect(bucket.atOnce).To(Equal(firstAtOnce))
+		bucket := newLoadLimiter(limits)
+		bucket.observe(1, 1)
+		Expect(bucket.maxConcurrent).To(Equal(initialConcurrency))
 	})
 })
 
@@ -131,47 +131,47 @@
 	}
 
 	ginkgo.It("is summed over nodes and expires with their reports", func() {
-		book := newDemandBook()
-		book.take(report("x", 1, row(1, 2, 5)), begin)
-		book.take(report("y", 1, row(3, 0, 5)), begin)
-		found := book.ofPool("p", begin)["m"]
+		book := newDemandTracker()
+		book.add(report("x", 1, row(1, 2, 5)), begin)
+		book.add(report("y", 1, row(3, 0, 5)), begin)
+		found := book.poolDemand("p", begin)["m"]
 		Expect(found.Waiting).To(Equal(4))
 		Expect(found.Running).To(Equal(2))
 		Expect(found.Adapters["a1"].Waiting).To(Equal(4))
-		Expect(book.live(begin)).To(HaveLen(2))
+		Expect(book.liveNodes(begin)).To(HaveLen(2))
 		later := begin.Add(10 * time.Second)
-		Expect(book.ofPool("p", later)["m"].Waiting).To(BeZero())
-		Expect(book.live(later)).To(BeEmpty())
+		Expect(book.poolDemand("p", later)["m"].Waiting).To(BeZero())
+		Expect(book.liveNodes(later)).To(BeEmpty())
 	})
 
 	ginkgo.It("takes no report that is older than the one before, and each of a new process", func() {
-		book := newDemandBook()
-		book.take(report("x", 5, row(1, 0, 1)), begin)
-		book.take(report("x", 4, row(9, 0, 1)), begin)
-		Expect(book.ofPool("p", begin)["m"].Waiting).To(Equal(1))
+		book := newDemandTracker()
+		book.add(report("x", 5, row(1, 0, 1)), begin)
+		book.add(report("x", 4, row(9, 0, 1)), begin)
+		Expect(book.poolDemand("p", begin)["m"].Waiting).To(Equal(1))
 		restarted := report("x", 1, row(2, 0, 1))
 		restarted.Started = 2
-		book.take(restarted, begin)
-		Expect(book.ofPool("p", begin)["m"].Waiting).To(Equal(2))
+		book.add(restarted, begin)
+		Expect(book.poolDemand("p", begin)["m"].Waiting).To(Equal(2))
 	})
 
 	ginkgo.It("counts arrivals once, and forgets their rate", func() {
-		book := newDemandBook()
-		book.take(report("x", 1, row(0, 0, 100)), begin)
+		book := newDemandTracker()
+		book.add(report("x", 1, row(0, 0, 100)), begin)
 		for i := range uint64(40) {
-			book.take(report("x", 2+i, row(0, 0, 101+i)), begin.Add(time.Duration(i)*100*time.Millisecond))
+			book.add(report("x", 2+i, row(0, 0, 101+i)), begin.Add(time.Duration(i)*100*time.Millisecond))
 		}
 		at := begin.Add(4 * time.Second)
-		Expect(book.ofPool("p", at)["m"].Rate).To(BeNumerically("~", 6.5, 1.5))
-		Expect(book.ofPool("p", at.Add(40*time.Second))["m"].Rate).To(BeNumerically("<", 0.01))
+		Expect(book.poolDemand("p", at)["m"].Rate).To(BeNumerically("~", 6.5, 1.5))
+		Expect(book.poolDemand("p", at.Add(40*time.Second))["m"].Rate).To(BeNumerically("<", 0.01))
 	})
 
 	ginkgo.It("keeps a model wanted while refused requests may come back", func() {
-		book := newDemandBook()
+		book := newDemandTracker()
 		expected := row(0, 0, 1)
 		expected.Expected = true
-		book.take(report("x", 1, expected), begin)
-		Expect(book.ofPool("p", begin)["m"].Waiting).To(Equal(1))
+		book.add(report("x", 1, expected), begin)
+		Expect(book.poolDemand("p", begin)["m"].Waiting).To(Equal(1))
 	})
 })
 
@@ -180,7 +180,7 @@
 		"a": {Name: "a", SizeMB: 70, AdapterMB: 1}, "b": {Name: "b", SizeMB: 70}, "c": {Name: "c", SizeMB: 70},
 	}}
 	holding := func(names ...string) *entry {
-		made := &entry{known: true, models: map[string]*heldModel{}}
+		made := &entry{reported: true, models: map[string]*heldModel{}}
 		for _, name := range names {
 			made.models[name] = &heldModel{adapters: map[string]bool{}}
 		}
@@ -200,8 +200,8 @@
 		ginkgo.Entry("room taken by a load", holding("a"), func(e *entry) { e.loading = "b" }, load("c"), false),
 		ginkgo.Entry("room not given back yet", holding("a"), func(e *entry) { e.unloading = "b" }, load("c"), false),
 		ginkgo.Entry("a model that nobody knows takes all", holding("x"), nil, load("c"), false),
-		ginkgo.Entry("an order is under way", holding(), func(e *entry) { e.working = true }, load("c"), false),
-		ginkgo.Entry("a server that was not heard", holding(), func(e *entry) { e.known = false }, load("c"), false),
+		ginkgo.Entry("an order is under way", holding(), func(e *entry) { e.busy = true }, load("c"), false),
+		ginkgo.Entry("a server that was not heard", holding(), func(e *entry) { e.reported = false }, load("c"), false),
 		ginkgo.Entry("no server", nil, nil, load("c"), false),
 		ginkgo.Entry("place for an adapter", holding("a"), nil, placement.Action{Kind: placement.LoadAdapter, Model: "a", Adapter: "a1"}, true),
 		ginkgo.Entry("no place for an adapter", holding("a"), func(e *entry) { e.models["a"].adapters["a2"] = true },
@@ -212,8 +212,8 @@
 
 var _ = ginkgo.Describe("an order under way", func() {
 	at := func(after time.Duration) time.Duration {
-		found := entry{server: &fleet.Server{ID: "s"}, working: true, busyUntil: begin}
-		return found.plannable("s", begin.Add(after)).FreeIn
+		found := entry{server: &fleet.Server{ID: "s"}, busy: true, busyUntil: begin}
+		return found.forPlanner("s", begin.Add(after)).FreeIn
 	}
 
 	ginkgo.It("is expected to end in time", func() {
@@ -228,39 +228,39 @@
 })
 
 var _ = ginkgo.Describe("promises", func() {
-	key := func(model string) comingKey { return comingKey{pool: "p", model: model} }
+	key := func(model string) modelKey { return modelKey{pool: "p", model: model} }
 
 	ginkgo.It("are told to the nodes that wait for the model, and to no others", func() {
-		book := newDemandBook()
-		book.take(DemandReport{Node: "a", Address: "a:1", Sequence: 1, Rows: []DemandRow{
+		book := newDemandTracker()
+		book.add(DemandReport{Node: "a", Address: "a:1", Sequence: 1, Rows: []DemandRow{
 			{Pool: "p", Model: "m", Waiting: 1}, {Pool: "p", Model: "m", Adapter: "x", Waiting: 1}, {Pool: "p", Model: "n", Running: 3},
 		}}, begin)
-		book.take(DemandReport{Node: "b", Address: "b:1", Sequence: 1, Rows: []DemandRow{{Pool: "p", Model: "n", Waiting: 2}}}, begin)
-		book.take(DemandReport{Node: "c", Address: "c:1", Sequence: 1, Rows: []DemandRow{{Pool: "p", Model: "m", Running: 2}}}, begin)
+		book.add(DemandReport{Node: "b", Address: "b:1", Sequence: 1, Rows: []DemandRow{{Pool: "p", Model: "n", Waiting: 2}}}, begin)
+		book.add(DemandReport{Node: "c", Address: "c:1", Sequence: 1, Rows: []DemandRow{{Pool: "p", Model: "m", Running: 2}}}, begin)
 		// Told to all, they took 10 Mbit/s of the holder's link with 86 nodes.
-		Expect(book.waitingNodes([]comingKey{key("m")}, begin)).To(Equal(map[string][]comingKey{"a:1": {key("m")}}))
-		Expect(book.waitingNodes([]comingKey{key("m"), key("n")}, begin)).To(HaveLen(2))
+		Expect(book.waitingNodes([]modelKey{key("m")}, begin)).To(Equal(map[string][]modelKey{"a:1": {key("m")}}))
+		Expect(book.waitingNodes([]modelKey{key("m"), key("n")}, begin)).To(HaveLen(2))
 	})
 
 	ginkgo.It("are told again when they move, by more than a share of what is left", func() {
-		told := newPromises()
+		told := newReadyEstimates()
 		told.update("p", map[string]time.Duration{"m": time.Second, "n": 6 * time.Second}, begin)
 		Expect(told.takeChanged()).To(ConsistOf(key("m"), key("n")))
 		told.update("p", map[string]time.Duration{"m": 1200 * time.Millisecond, "n": 6500 * time.Millisecond}, begin)
 		Expect(told.takeChanged()).To(ConsistOf(key("m")))
 		told.update("p", map[string]time.Duration{"n": 6500 * time.Millisecond}, begin)
 		Expect(told.takeChanged()).To(BeEmpty())
-		Expect(told.states([]comingKey{key("m"), key("n")}, begin.Add(time.Second))).To(Equal([]ComingState{
+		Expect(told.states([]modelKey{key("m"), key("n")}, begin.Add(time.Second))).To(Equal([]ExpectedModel{
 			{Pool: "p", Model: "n", Remaining: 5500 * time.Millisecond},
 		}))
 	})
 
 	ginkgo.It("count for a while after they were not kept", func() {
 		row := forward.DemandKey{Pool: "p", Model: "m"}
-		link := &Link{coming: map[forward.DemandKey]time.Time{row: time.Now().Add(-promisePast / 2)}}
+		link := &Link{readyTimes: map[forward.DemandKey]time.Time{row: time.Now().Add(-estimateGrace / 2)}}
 		_, coming := link.ReadyAt(row)
 		Expect(coming).To(BeTrue())
-		link.coming[row] = time.Now().Add(-2 * promisePast)
+		link.readyTimes[row] = time.Now().Add(-2 * estimateGrace)
 		_, coming = link.ReadyAt(row)
 		Expect(coming).To(BeFalse())
 	})
--- a/internal/orders/promises.go
+++ b/internal/orders/promises.go
@@ -3,75 +3,77 @@
 import "time"
 
 const (
-	// promiseChange is the least change of a promised time that nodes are told at
-	// once.
-	promiseChange = 150 * time.Millisecond
-	// promisePast is how long a node goes by a promise that was not kept.
-	promisePast = 2 * time.Second
-	// promiseShare of the time that is left is the least change that is told.
-	promiseShare = 0.15
+	// An estimate is sent to nodes again when it has changed by at least minEstimateChange
+	// and at least minEstimateChangeShare of the remaining time.
+	minEstimateChange = 150 * time.Millisecond
+	// estimateGrace is how long a node still uses an estimate after its time has passed.
+	estimateGrace          = 2 * time.Second
+	minEstimateChangeShare = 0.15
 )
 
-// comingKey names a model of a pool that is waited for.
-type comingKey struct{ pool, model string }
+// modelKey identifies a model in a pool.
+type modelKey struct{ pool, model string }
 
-// promise is when a model is expected at some server.
-type promise struct {
+// readyEstimate is the time at which a model is expected to be ready at some server.
+type readyEstimate struct {
 	readyAt time.Time
-	// told is the time that nodes were told last.
-	told time.Time
+	// lastSent is the estimate that was last sent to nodes.
+	lastSent time.Time
 }
 
-// promises are what the last plans expect. The holder's lock guards them.
-type promises struct {
-	byModel map[comingKey]*promise
-	changed []comingKey
+// readyEstimates holds the estimates of the latest plans. The holder's lock guards it.
+type readyEstimates struct {
+	byModel map[modelKey]*readyEstimate
+	changed []modelKey
 }
 
-func newPromises() *promises { return &promises{byModel: map[comingKey]*promise{}} }
+func newReadyEstimates() *readyEstimates {
+	return &readyEstimates{byModel: map[modelKey]*readyEstimate{}}
+}
 
-// update takes over what the newest plan of a pool expects.
-func (p *promises) update(pool string, readyIn map[string]time.Duration, now time.Time) {
-	for key := range p.byModel {
+// update replaces the estimates of a pool by those of its newest plan.
+func (e *readyEstimates) update(pool string, readyIn map[string]time.Duration, now time.Time) {
+	for key := range e.byModel {
 		if _, still := readyIn[key.model]; key.pool == pool && !still {
-			delete(p.byModel, key)
+			delete(e.byModel, key)
 		}
 	}
 	for model, in := range readyIn {
-		p.set(comingKey{pool, model}, now.Add(in), now)
+		e.set(modelKey{pool, model}, now.Add(in), now)
 	}
 }
 
-func (p *promises) set(key comingKey, readyAt, now time.Time) {
-	found := p.byModel[key]
+func (e *readyEstimates) set(key modelKey, readyAt, now time.Time) {
+	found := e.byModel[key]
 	if found == nil {
-		found = &promise{}
-		p.byModel[key] = found
+		found = &readyEstimate{}
+		e.byModel[key] = found
 	}
 	found.readyAt = readyAt
-	worthTelling := max(promiseChange, time.Duration(promiseShare*float64(readyAt.Sub(now))))
-	if readyAt.Sub(found.told).Abs() >= worthTelling {
-		found.told = readyAt
-		p.changed = append(p.changed, key)
+	minChange := max(minEstimateChange, time.Duration(minEstimateChangeShare*float64(readyAt.Sub(now))))
+	if readyAt.Sub(found.lastSent).Abs() >= minChange {
+		found.lastSent = readyAt
+		e.changed = append(e.changed, key)
 	}
 }
 
-// takeChanged returns the models whose promises changed since the last call.
-func (p *promises) takeChanged() []comingKey {
-	changed := p.changed
-	p.changed = nil
+// takeChanged returns the models whose estimates changed enough to be sent since the last
+// call.
+func (e *readyEstimates) takeChanged() []modelKey {
+	changed := e.changed
+	e.changed = nil
 	return changed
 }
 
-// states returns the promises of the models, in their order.
-func (p *promises) states(models []comingKey, now time.Time) []ComingState {
-	var states []ComingState
+// states returns the estimates of the models in the given order, leaving out models without one.
+func (e *readyEstimates) states(models []modelKey, now time.Time) []ExpectedModel {
+	var states []ExpectedModel
 	for _, key := range models {
-		found := p.byModel[key]
+		found := e.byModel[key]
 		if found == nil {
 			continue
 		}
-		states = append(states, ComingState{Pool: key.pool, Model: key.model, Remaining: max(found.readyAt.Sub(now), 0)})
+		states = append(states, ExpectedModel{Pool: key.pool, Model: key.model, Remaining: max(found.readyAt.Sub(now), 0)})
 	}
 	return states
 }
--- a/internal/orders/push.go
+++ b/internal/orders/push.go
@@ -4,47 +4,48 @@
 	"time"
 )
 
-func (h *Holder) update(term *Term, after uint64, models []comingKey, now time.Time) Update {
-	nodes := len(h.demand.live(now))
+// update returns the placement changes after a version, with the estimates for the models.
+func (h *Holder) update(term *Term, after uint64, models []modelKey, now time.Time) Update {
+	nodes := len(h.demand.liveNodes(now))
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return Update{
-		Token: term.Token, Version: h.ledger.version, Base: after, Nodes: nodes, OrdersIn: term.ordersIn(now),
-		Servers: h.ledger.states(after), Coming: h.promises.states(models, now),
+		Token: term.Token, Version: h.servers.version, Base: after, Nodes: nodes, OrdersIn: term.ordersIn(now),
+		Servers: h.servers.statesAfter(after), Coming: h.estimates.states(models, now),
 	}
 }
 
-// tellChange tells the nodes of a model that is there, or of which an adapter is, or that
-// goes: all of them, or those that ask for the model.
-func (h *Holder) tellChange(target *entry, model string) {
+// pushChange notifies nodes that a model or an adapter of it was loaded, or is being unloaded
+// at a server. If it can't notify all nodes now, it notifies those that request the model.
+func (h *Holder) pushChange(target *entry, model string) {
 	now := time.Now()
 	if h.push(now) {
 		return
 	}
 	h.mutex.Lock()
-	key, term := comingKey{target.server.Pool, model}, h.term
+	key, term := modelKey{target.server.Pool, model}, h.term
 	update := Update{Servers: []ServerState{target.state(target.server.ID)}}
 	h.mutex.Unlock()
 	if term == nil {
 		return
 	}
 	update.Token, update.OrdersIn = term.Token, term.ordersIn(now)
-	for _, address := range h.demand.asking(key, now) {
+	for _, address := range h.demand.nodesRequesting(key, now) {
 		h.config.Push(address, update)
 	}
 }
 
-// push tells all nodes what changed since the last push, and reports whether it did.
-// With many nodes it waits for more changes, which the next plan pushes, and with more
-// than toldAll it tells none.
+// push sends all nodes the changes since the last push, and reports whether it did. With many
+// nodes it collects changes, which a later tick pushes; with more than maxPushedNodes it
+// never pushes to all.
 func (h *Holder) push(now time.Time) bool {
-	live := h.demand.live(now)
-	pause := time.Duration(len(live)) * pushPauseEach
+	live := h.demand.liveNodes(now)
+	pause := time.Duration(len(live)) * pushPausePerNode
 	h.mutex.Lock()
-	term, after := h.term, h.pushed
-	due := term != nil && h.ledger.version != after && now.Sub(h.pushedAt) >= pause && len(live) <= toldAll
+	term, after := h.term, h.pushedVersion
+	due := term != nil && h.servers.version != after && now.Sub(h.pushedAt) >= pause && len(live) <= maxPushedNodes
 	if due {
-		h.pushed, h.pushedAt = h.ledger.version, now
+		h.pushedVersion, h.pushedAt = h.servers.version, now
 	}
 	h.mutex.Unlock()
 	if !due {
@@ -57,15 +58,15 @@
 	return true
 }
 
-// pushPromises tells the nodes that wait for models when these will be there.
-func (h *Holder) pushPromises(term *Term, changed []comingKey, now time.Time) {
+// pushEstimates sends the changed estimates to the nodes whose callers wait for the models.
+func (h *Holder) pushEstimates(term *Term, changed []modelKey, now time.Time) {
 	if len(changed) == 0 {
 		return
 	}
 	waiting := h.demand.waitingNodes(changed, now)
 	for address, models := range waiting {
 		h.mutex.Lock()
-		update := Update{Token: term.Token, OrdersIn: term.ordersIn(now), Coming: h.promises.states(models, now)}
+		update := Update{Token: term.Token, OrdersIn: term.ordersIn(now), Coming: h.estimates.states(models, now)}
 		h.mutex.Unlock()
 		h.config.Push(address, update)
 	}
--- a/internal/orders/renewal.go
+++ b/internal/orders/renewal.go
@@ -9,50 +9,51 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// keep renews the lease until it is gone.
-func (e *Election) keep(ctx context.Context, term *Term) {
-	period := e.config.Lease / renewals
+// keepLease renews the lease until it is lost, the term ends or ctx ends. It activates the term
+// when its time to order has come.
+func (e *Election) keepLease(ctx context.Context, term *Term) {
+	period := e.config.Lease / renewalsPerLease
 	for ctx.Err() == nil {
-		if term.mustEnter(time.Now()) {
-			e.enter(term)
+		if term.needsActivation(time.Now()) {
+			e.activate(term)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-term.Over():
+		case <-term.Done():
 			return
 		case <-time.After(e.untilNext(term, period)):
 		}
 		sent := time.Now()
 		err := e.renewOnce()
 		switch {
-		case err == nil && !e.outlived(term):
+		case err == nil && !e.restoredSince(term):
 			term.renew(sent.Add(e.config.Lease - leaseMargin))
 		case errors.Is(err, outside.ErrLeaseGone):
 			e.config.Logger.Warn().Int64("token", term.Token).Msg("lease lost")
-			e.drop(term)
+			e.endTerm(term)
 			return
 		}
 	}
 }
 
-// untilNext is the time to the next renewal, or to the turn if that is sooner.
+// untilNext returns the time to the next renewal, or to the start of orders if that is sooner.
 func (e *Election) untilNext(term *Term, period time.Duration) time.Duration {
-	if turn := time.Until(term.NotBefore); turn > 0 && turn < period {
-		return turn
+	if wait := time.Until(term.NotBefore); wait > 0 && wait < period {
+		return wait
 	}
 	return period
 }
 
-// enter names this node as the last one that could order, before it does so: a
-// process that restarts on this machine while the predecessor's turn lasts finds
-// the predecessor there, and waits as well.
-func (e *Election) enter(term *Term) {
+// activate names this node in the store as the last active holder, before it sends its first
+// order. Until then the store names the predecessor, so that a process that restarts on this
+// node during the handover period waits for it as well.
+func (e *Election) activate(term *Term) {
 	now := time.Now()
-	record := e.enteringRecord(term.turns, now)
+	record := e.activeRecord(term.history, now)
 	value, err := json.Marshal(record)
 	if err != nil {
-		e.config.Logger.Error().Err(err).Msg("record is not written")
+		e.config.Logger.Error().Err(err).Msg("cannot encode the record of the last active holder")
 		return
 	}
 	reply, err := e.transact(outside.Transaction{
@@ -60,17 +61,18 @@
 		Operations: []outside.Operation{{Kind: outside.OperationPut, Key: e.lastKey(), Value: value}},
 	})
 	if err != nil {
-		e.config.Logger.Warn().Int64("token", term.Token).Err(err).Msg("turn not entered yet")
+		e.config.Logger.Warn().Int64("token", term.Token).Err(err).Msg("last active holder not recorded in the store; no orders are sent yet")
 		return
 	}
-	record.Revision, record.seenAt = reply.Revision, now
+	record.Revision, record.receivedAt = reply.Revision, now
 	e.mutex.Lock()
-	e.last = &record
+	e.lastHolder = &record
 	e.mutex.Unlock()
-	term.enter()
+	term.activate()
 	e.config.Logger.Info().Int64("token", term.Token).Msg("turn entered")
 }
 
+// renewOnce sends one renewal and waits for its result.
 func (e *Election) renewOnce() error {
 	e.mutex.Lock()
 	lease := e.lease
@@ -78,8 +80,8 @@
 	return outside.AwaitError(func(done func(error)) { e.config.Store.KeepAlive(lease, storeTimeout, done) })
 }
 
-// drop ends a term whose lease is gone.
-func (e *Election) drop(term *Term) {
+// endTerm ends a term whose lease is lost.
+func (e *Election) endTerm(term *Term) {
 	term.end()
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/orders/room.go
+++ b/internal/orders/room.go
@@ -10,21 +10,23 @@
 	"github.com/hatchplank/hatchplank/internal/serverlimit"
 )
 
-// errQuiet: the server wants nothing from this node now, or its limit has no room.
-var errQuiet = errors.New("the server asked this node to back off, or its limit has no room")
+// errNoCapacity is returned for a server that asked this node to back off, or whose rate
+// limit is used up.
+var errNoCapacity = errors.New("the server asked this node to back off, or its rate limit is used up")
 
-// backoffLeft is how long a server wants nothing from this node.
-func (h *Holder) backoffLeft(server *fleet.Server, now time.Time) time.Duration {
+// remainingBackoff returns for how long a server still asks this node to back off.
+func (h *Holder) remainingBackoff(server *fleet.Server, now time.Time) time.Duration {
 	return max(h.config.Notices.BackoffUntil(server).Sub(now), 0)
 }
 
-// awaitRoom waits until a server's limit has room, and takes it. It returns false if the server
-// wants nothing, or has no room for long.
+// awaitCapacity waits until a server's rate limit has capacity, and takes it. It returns false
+// if the server asked for a backoff, or has no capacity within serverlimit.Window.
 //
-// Orders and questions come to a server like requests, and a load is followed by a question
-// every 50 ms: 20 a second, whatever the server's limit.
-func (h *Holder) awaitRoom(ctx context.Context, server *fleet.Server) (serverlimit.Grant, bool) {
-	if h.backoffLeft(server, time.Now()) > 0 {
+// Orders and calls for reports count against a server's limit like requests. A load is
+// followed by a call for a report every 50 ms, which without this check would be 20 a second
+// whatever the server's limit.
+func (h *Holder) awaitCapacity(ctx context.Context, server *fleet.Server) (serverlimit.Grant, bool) {
+	if h.remainingBackoff(server, time.Now()) > 0 {
 		return serverlimit.Grant{}, false
 	}
 	grant := h.config.Limits.Take(ctx, server, serverlimit.Need{MaxWait: serverlimit.Window})
@@ -32,7 +34,7 @@
 		return grant, false
 	}
 	clock.Sleep(ctx, grant.In)
-	if ctx.Err() != nil || h.backoffLeft(server, time.Now()) > 0 {
+	if ctx.Err() != nil || h.remainingBackoff(server, time.Now()) > 0 {
 		h.config.Limits.Return(grant)
 		return grant, false
 	}
--- a/internal/orders/sample.go
+++ b/internal/orders/sample.go
@@ -9,94 +9,95 @@
 )
 
 const (
-	// wholePool is up to how many servers a pool is planned with all of them. A plan over
-	// 10,000 servers takes 87 ms with 300 models, every 150 ms, on a machine with less
-	// than a core (BenchmarkPlan of package placement).
-	wholePool = 512
-	// holdersPerModel servers of each model that is asked for take part in a plan of a
-	// larger pool, and spareServers beside them. They change from plan to plan. The best
-	// of a few random choices is nearly as good as the best of all (Mitzenmacher, The
-	// Power of Two Choices in Randomized Load Balancing, 2001).
+	// maxWholePool is the number of servers up to which a pool is planned as a whole. A plan
+	// over 10,000 servers with 300 models, made every 150 ms, takes 87 ms on a machine with
+	// less than a core (BenchmarkPlan of package placement).
+	maxWholePool = 512
+	// A plan of a larger pool takes in holdersPerModel servers for each requested model, and
+	// spareServers others. They change from plan to plan. The best of a few random choices
+	// is nearly as good as the best of all (Mitzenmacher, The Power of Two Choices in
+	// Randomized Load Balancing, 2001).
 	holdersPerModel, spareServers = 8, 128
 )
 
-// sample is the part of a pool that is planned with.
+// sample is the part of a pool that a plan takes in.
 type sample struct {
 	servers []placement.Server
-	// elsewhere counts the replicas by model at the servers left out, and left those
-	// servers.
+	// elsewhere counts the replicas, by model, at the servers that are left out, and leftOut
+	// counts those servers.
 	elsewhere map[string]int
-	left      int
+	leftOut   int
 }
 
-// sampling chooses the sample of one plan.
-type sampling struct {
+// sampler chooses the servers in the sample of one plan.
+type sampler struct {
 	demand map[string]*placement.Demand
 	now    time.Time
-	// holders by model that are in the sample, and the spare servers.
+	// holders counts the servers chosen for each model, and spares the other ones.
 	holders map[string]int
 	spares  int
 }
 
-// sample returns the servers to plan with, in order of ID: all of a small pool; of a
-// large one those with an order under way, those that hold an adapter that is waited
-// for, some holders of what is asked for, and some others.
-func (l *ledger) sample(pool string, demand map[string]*placement.Demand, now time.Time) sample {
-	ids := l.ordered()[pool]
-	if len(ids) <= wholePool {
-		return sample{servers: l.plannable(ids, now)}
+// sample returns the servers to plan with, in order of ID. Of a small pool these are all servers; of
+// a large one those with an order in progress, those that hold an awaited adapter, some that
+// hold the requested models, and some others.
+func (t *serverTable) sample(pool string, demand map[string]*placement.Demand, now time.Time) sample {
+	ids := t.sortedIDs()[pool]
+	if len(ids) <= maxWholePool {
+		return sample{servers: t.forPlanner(ids, now)}
 	}
-	chosen := sampling{demand: demand, now: now, holders: map[string]int{}}
+	chosen := sampler{demand: demand, now: now, holders: map[string]int{}}
 	found := sample{elsewhere: map[string]int{}}
-	first := l.turn % len(ids)
-	l.turn += spareServers
-	var taken []string
+	first := t.sampleStart % len(ids)
+	t.sampleStart += spareServers
+	var included []string
 	for i := range ids {
 		id := ids[(first+i)%len(ids)]
-		if candidate := l.entries[id]; chosen.takes(candidate) {
-			taken = append(taken, id)
+		if candidate := t.entries[id]; chosen.includes(candidate) {
+			included = append(included, id)
 		} else {
-			found.left++
+			found.leftOut++
 			candidate.countReplicas(found.elsewhere)
 		}
 	}
-	slices.Sort(taken)
-	found.servers = l.plannable(taken, now)
+	slices.Sort(included)
+	found.servers = t.forPlanner(included, now)
 	return found
 }
 
-func (l *ledger) plannable(ids []string, now time.Time) []placement.Server {
+// forPlanner returns the servers as input of the planner.
+func (t *serverTable) forPlanner(ids []string, now time.Time) []placement.Server {
 	servers := make([]placement.Server, len(ids))
 	for i, id := range ids {
-		servers[i] = l.entries[id].plannable(id, now)
+		servers[i] = t.entries[id].forPlanner(id, now)
 	}
 	return servers
 }
 
-// ordered are the IDs of each pool's servers in order.
-func (l *ledger) ordered() map[string][]string {
-	if l.byPool != nil {
-		return l.byPool
+// sortedIDs returns the sorted IDs of each pool's servers.
+func (t *serverTable) sortedIDs() map[string][]string {
+	if t.byPool != nil {
+		return t.byPool
 	}
-	l.byPool = map[string][]string{}
-	for id, found := range l.entries {
-		l.byPool[found.server.Pool] = append(l.byPool[found.server.Pool], id)
+	t.byPool = map[string][]string{}
+	for id, found := range t.entries {
+		t.byPool[found.server.Pool] = append(t.byPool[found.server.Pool], id)
 	}
-	for _, ids := range l.byPool {
+	for _, ids := range t.byPool {
 		sort.Strings(ids)
 	}
-	return l.byPool
+	return t.byPool
 }
 
-// takes tells whether a server takes part.
-func (s *sampling) takes(candidate *entry) bool {
+// includes decides whether a server belongs to the sample, and counts it if so.
+func (s *sampler) includes(candidate *entry) bool {
 	if candidate.engaged(s.now) {
 		return true
 	}
-	if candidate.server.Draining || !candidate.known || s.now.Before(candidate.suspectUntil) {
+	if candidate.server.Draining || !candidate.reported || s.now.Before(candidate.suspectUntil) {
 		return false
 	}
-	if s.holdsWaited(candidate) || s.isHolder(candidate) {
+	if s.holdsAwaitedAdapter(candidate) || s.addHolder(candidate) {
 		return true
 	}
 	if s.spares < spareServers {
@@ -106,14 +107,15 @@
 	return false
 }
 
-// engaged: something is under way at the server, or was planned for it.
+// engaged reports whether an order is in progress or possibly in progress at the server, or memory
+// there is reserved for a model.
 func (e *entry) engaged(now time.Time) bool {
-	return e.working || e.intent != "" && now.Sub(e.intentAt) < intentLifetime || now.Before(e.doubtUntil)
+	return e.busy || e.intent != "" && now.Sub(e.intentAt) < intentLifetime || now.Before(e.unconfirmedUntil)
 }
 
-// holdsWaited: the server holds an adapter that somebody waits for, so it needs no
-// other one.
-func (s *sampling) holdsWaited(candidate *entry) bool {
+// holdsAwaitedAdapter reports whether the server holds an adapter that requests wait for. Without
+// it in the sample, the plan would load the adapter at another server.
+func (s *sampler) holdsAwaitedAdapter(candidate *entry) bool {
 	for name, held := range candidate.models {
 		demand := s.demand[name]
 		if demand == nil {
@@ -128,9 +130,9 @@
 	return false
 }
 
-// isHolder counts the server for a model that is asked for and has too few holders in
-// the sample.
-func (s *sampling) isHolder(candidate *entry) bool {
+// addHolder counts the server for a requested model that it holds and that has too few servers in
+// the sample. It returns false if there is no such model.
+func (s *sampler) addHolder(candidate *entry) bool {
 	for name := range candidate.models {
 		if s.demand[name] != nil && s.holders[name] < holdersPerModel {
 			s.holders[name]++
@@ -140,12 +142,12 @@
 	return false
 }
 
-// countReplicas adds the replicas that requests can be sent to.
+// countReplicas adds the server's replicas that requests can be sent to.
 func (e *entry) countReplicas(counts map[string]int) {
 	if e.server.Draining {
 		return
 	}
-	if e.unasked() {
+	if e.unreported() {
 		for name := range e.server.Recorded() {
 			counts[name]++
 		}
--- a/internal/orders/scale_test.go
+++ b/internal/orders/scale_test.go
@@ -83,19 +83,19 @@
 		g := NewWithT(t)
 		engines := &countingEngines{}
 		holder := holderOf(largeSnapshot(largeFleet), engines, func(string, Update) {})
-		holder.demand.take(waitingReport("n", 1, "m7", ""), time.Now())
+		holder.demand.add(waitingReport("n", 1, "m7", ""), time.Now())
 		snapshot := holder.config.View.Load()
 		holder.mutex.Lock()
-		holder.ask(t.Context(), holder.ledger.sync(snapshot, time.Now()), time.Now())
+		holder.requestReports(t.Context(), holder.servers.sync(snapshot, time.Now()), time.Now())
 		holder.mutex.Unlock()
 		time.Sleep(20 * time.Millisecond)
 		engines.mutex.Lock()
-		for _, id := range engines.asked[:askAtOnce] {
+		for _, id := range engines.asked[:maxConcurrentReports] {
 			g.Expect(snapshot.Servers[id].Holds("m7", "")).To(BeTrue(), id)
 		}
 		engines.mutex.Unlock()
 		time.Sleep(3 * time.Second)
-		g.Expect(engines.most).To(Equal(askAtOnce))
+		g.Expect(engines.most).To(Equal(maxConcurrentReports))
 		g.Expect(engines.answered).To(Equal(largeFleet))
 	})
 }
@@ -108,14 +108,14 @@
 		holder := holderOf(largeSnapshot(1000), engines, func(string, Update) {})
 		for range 20 {
 			holder.mutex.Lock()
-			holder.ask(t.Context(), holder.ledger.sync(holder.config.View.Load(), time.Now()), time.Now())
+			holder.requestReports(t.Context(), holder.servers.sync(holder.config.View.Load(), time.Now()), time.Now())
 			holder.mutex.Unlock()
 			time.Sleep(11 * time.Millisecond)
 		}
 		time.Sleep(time.Second)
 		g.Expect(engines.answered).To(Equal(1000))
-		g.Expect(engines.most).To(Equal(askAtOnce))
-		g.Expect(holder.asking.workers).To(BeZero())
+		g.Expect(engines.most).To(Equal(maxConcurrentReports))
+		g.Expect(holder.reports.workers).To(BeZero())
 	})
 }
 
@@ -128,25 +128,25 @@
 		for range 5 {
 			ctx, cancel := context.WithCancel(t.Context())
 			holder.mutex.Lock()
-			holder.ledger, holder.asking = newLedger(), &asking{}
-			holder.ask(ctx, holder.ledger.sync(holder.config.View.Load(), time.Now()), time.Now())
+			holder.servers, holder.reports = newServerTable(), &reportQueue{}
+			holder.requestReports(ctx, holder.servers.sync(holder.config.View.Load(), time.Now()), time.Now())
 			holder.mutex.Unlock()
 			time.Sleep(12 * time.Millisecond)
 			cancel()
 		}
 		time.Sleep(20 * time.Millisecond)
 		holder.mutex.Lock()
-		g.Expect(holder.asking.workers).To(BeZero())
+		g.Expect(holder.reports.workers).To(BeZero())
 		holder.mutex.Unlock()
-		g.Expect(engines.most).To(BeNumerically("<=", 2*askAtOnce), "the last questions of a term beside the first of the next")
+		g.Expect(engines.most).To(BeNumerically("<=", 2*maxConcurrentReports), "the last questions of a term beside the first of the next")
 	})
 }
 
 // reportedLedger is the ledger of a holder that has heard all servers.
-func reportedLedger(snapshot *fleet.Snapshot) *ledger {
-	l := newLedger()
+func reportedLedger(snapshot *fleet.Snapshot) *serverTable {
+	l := newServerTable()
 	for _, found := range l.sync(snapshot, begin) {
-		l.reported(found, Report{Models: found.server.Recorded()}, begin)
+		l.applyReport(found, Report{Models: found.server.Recorded()}, begin)
 	}
 	return l
 }
@@ -158,7 +158,7 @@
 	snapshot := largeSnapshot(largeFleet)
 	l := reportedLedger(snapshot)
 	l.entries["s00007"].models["m7"].adapters["a1"] = true
-	l.entries["s04000"].working = true
+	l.entries["s04000"].busy = true
 	demand := map[string]*placement.Demand{
 		"m7": {Waiting: 1, Adapters: map[string]*placement.AdapterDemand{"a1": {Waiting: 1}}},
 		"m8": {Rate: 1},
@@ -166,7 +166,7 @@
 	for range 100 {
 		found := l.sample("p", demand, begin)
 		g.Expect(len(found.servers)).To(BeNumerically("<=", spareServers+2*holdersPerModel+2))
-		g.Expect(len(found.servers) + found.left).To(Equal(largeFleet))
+		g.Expect(len(found.servers) + found.leftOut).To(Equal(largeFleet))
 		replicas := map[string]int{}
 		var ids []string
 		for _, server := range found.servers {
@@ -189,10 +189,10 @@
 
 func TestSmallPoolIsPlannedWhole(t *testing.T) {
 	g := NewWithT(t)
-	l := reportedLedger(largeSnapshot(wholePool))
+	l := reportedLedger(largeSnapshot(maxWholePool))
 	found := l.sample("p", map[string]*placement.Demand{}, begin)
-	g.Expect(found.servers).To(HaveLen(wholePool))
-	g.Expect(found.left).To(BeZero())
+	g.Expect(found.servers).To(HaveLen(maxWholePool))
+	g.Expect(found.leftOut).To(BeZero())
 }
 
 // Callers at many nodes ask for many adapters that no server holds, all at once: the
@@ -214,7 +214,7 @@
 	for range 30 {
 		chosen := l.sample("p", demand, begin)
 		planned := placement.Plan(&placement.Input{
-			Now: begin, Engine: engine, Servers: chosen.servers, Elsewhere: chosen.elsewhere, ServersElsewhere: chosen.left, Demand: demand,
+			Now: begin, Engine: engine, Servers: chosen.servers, Elsewhere: chosen.elsewhere, ServersElsewhere: chosen.leftOut, Demand: demand,
 		})
 		for _, action := range planned.Actions {
 			g.Expect(action.Kind).To(Equal(placement.LoadAdapter))
@@ -246,22 +246,22 @@
 			if i >= 3 {
 				report.Rows = nil
 			}
-			holder.demand.take(report, time.Now())
+			holder.demand.add(report, time.Now())
 		}
-		holder.ledger = reportedLedger(holder.config.View.Load())
+		holder.servers = reportedLedger(holder.config.View.Load())
 		holder.pushedAt = time.Now()
-		target := holder.ledger.entries["s00007"]
+		target := holder.servers.entries["s00007"]
 		target.models["m7"].adapters["a1"] = true
-		holder.ledger.changed(target)
-		holder.tellChange(target, "m7")
+		holder.servers.markChanged(target)
+		holder.pushChange(target, "m7")
 		g.Expect(told).To(HaveLen(3))
-		time.Sleep(time.Duration(1000) * pushPauseEach)
+		time.Sleep(time.Duration(1000) * pushPausePerNode)
 		holder.push(time.Now())
 		g.Expect(told).To(HaveLen(3), "nobody else is told of what he doesn't ask for")
 		for i := 3; i < 1000; i++ {
 			report := waitingReport(fmt.Sprint("n", i), 2, "m9", "")
 			report.Token = 5
-			update, holds := holder.Report(report)
+			update, holds := holder.HandleReport(report)
 			g.Expect(holds).To(BeTrue())
 			g.Expect(update.Servers).To(HaveLen(1), "the next report brings it")
 		}
@@ -286,7 +286,7 @@
 		for b.Loop() {
 			chosen := l.sample("p", demand, begin)
 			placement.Plan(&placement.Input{
-				Now: begin, Engine: engine, Servers: chosen.servers, Elsewhere: chosen.elsewhere, ServersElsewhere: chosen.left, Demand: demand, StoreLoads: 100,
+				Now: begin, Engine: engine, Servers: chosen.servers, Elsewhere: chosen.elsewhere, ServersElsewhere: chosen.leftOut, Demand: demand, StoreLoads: 100,
 			})
 		}
 	})
--- a/internal/orders/term.go
+++ b/internal/orders/term.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// Term is the time during which this node may order.
+// Term is a period during which this node is the holder and may send orders. It is safe for
+// concurrent use.
 //
-// Its lease counts from when a renewal was sent, on the steady clock, and ends
-// a margin early; MayOrder is asked right before each order. So a process that
-// was frozen, or is cut off from the store, has stopped before the store ends
-// its lease. A successor waits for the turn after that.
+// Its lease is measured on the monotonic clock from when a renewal was sent, and is treated as
+// over leaseMargin before it expires. MayOrder is checked right before each order. So a
+// process that was suspended, or is partitioned from the store, stops sending orders before
+// the store expires its lease. A successor waits for the handover period after that.
 type Term struct {
-	// Token is higher than that of each earlier term.
+	// Token is the fencing token. It is higher than that of each earlier term.
 	Token int64
-	// revision at which the store holds this node's record as holder: the token, until
-	// the store is restored. It is guarded by the election's lock.
+	// revision is the revision of this node's record as holder in the store. It equals the
+	// token until the store is restored. The election's lock guards it.
 	revision int64
-	// NotBefore is when the predecessor's turn is over.
+	// NotBefore is when the predecessor's handover period ends.
 	NotBefore time.Time
 
-	// turns are what is known of orders that others must wait after.
-	turns *turns
+	// history holds the orders after which a successor has to wait.
+	history *orderHistory
 
 	mutex      sync.Mutex
 	validUntil time.Time
-	// entered: the store names this node as the last one that ordered.
-	entered bool
-	ended   bool
-	over    chan struct{}
+	// active is set while the store names this node as the last active holder.
+	active bool
+	ended  bool
+	done   chan struct{}
 }
 
-func newTerm(token int64, notBefore, validUntil time.Time, entered bool) *Term {
+func newTerm(token int64, notBefore, validUntil time.Time, active bool) *Term {
 	return &Term{
-		Token: token, revision: token, NotBefore: notBefore, validUntil: validUntil, entered: entered, over: make(chan struct{}), turns: newTurns(),
+		Token: token, revision: token, NotBefore: notBefore, validUntil: validUntil, active: active, done: make(chan struct{}), history: newOrderHistory(),
 	}
 }
 
@@ -44,66 +45,73 @@
 	return t.mayOrder(now)
 }
 
-// mayOrder must be called with the lock held.
+// mayOrder is MayOrder for callers that hold the lock.
 func (t *Term) mayOrder(now time.Time) bool {
-	return !t.ended && t.entered && !now.Before(t.NotBefore) && now.Before(t.validUntil)
+	return !t.ended && t.active && !now.Before(t.NotBefore) && now.Before(t.validUntil)
 }
 
-// leads reports whether the lease is known to last.
-func (t *Term) leads(now time.Time) bool {
+// leaseValid reports whether the term has not ended and its lease is still valid.
+func (t *Term) leaseValid(now time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return !t.ended && now.Before(t.validUntil)
 }
 
-// ordersIn is the time until orders may be given, as far as known.
+// ordersIn returns the time until orders may be sent, as far as known.
 func (t *Term) ordersIn(now time.Time) time.Duration { return max(t.NotBefore.Sub(now), 0) }
 
-// begin notes that an order is sent to the server, if it may be now. Done must be
-// called when its answer came, or is not waited for any more.
-func (t *Term) begin(server string, now time.Time) bool {
+// beginOrder records that an order is being sent to the server, and returns false if none may
+// be sent now. endOrder must be called once the order was answered or is not waited for any
+// more.
+func (t *Term) beginOrder(server string, now time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if !t.mayOrder(now) || !t.turns.over(server, now) {
+	if !t.mayOrder(now) || !t.history.mayOrder(server, now) {
 		return false
 	}
-	t.turns.begin(server)
+	t.history.begin(server)
 	return true
 }
 
-func (t *Term) done(server string) { t.turns.done(server, time.Now()) }
+// endOrder records the end of an order that beginOrder allowed.
+func (t *Term) endOrder(server string) { t.history.end(server, time.Now()) }
 
-// mustEnter reports whether the turn has come and the store does not know yet.
-func (t *Term) mustEnter(now time.Time) bool {
+// needsActivation reports whether the time to send orders has come and the store doesn't name
+// this node as the last active holder yet.
+func (t *Term) needsActivation(now time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return !t.ended && !t.entered && !now.Before(t.NotBefore)
+	return !t.ended && !t.active && !now.Before(t.NotBefore)
 }
 
-func (t *Term) enter() {
+// activate allows orders, once the store names this node as the last active holder.
+func (t *Term) activate() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.entered = true
+	t.active = true
 }
 
-// reenter makes a term that had entered do so again. It reports whether it had.
-func (t *Term) reenter() bool {
+// deactivate forbids orders until the term is activated again. It reports whether the term was
+// active.
+func (t *Term) deactivate() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	had := t.entered
-	t.entered = false
-	return had
+	wasActive := t.active
+	t.active = false
+	return wasActive
 }
 
-func (t *Term) hasEntered() bool {
+// isActive reports whether the store names this node as the last active holder.
+func (t *Term) isActive() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.entered
+	return t.active
 }
 
-// Over is closed when the term has ended for good.
-func (t *Term) Over() <-chan struct{} { return t.over }
+// Done returns a channel that is closed when the term has ended.
+func (t *Term) Done() <-chan struct{} { return t.done }
 
+// renew extends the validity of the lease; it never shortens it.
 func (t *Term) renew(until time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -112,11 +120,12 @@
 	}
 }
 
+// end ends the term. It may be called more than once.
 func (t *Term) end() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if !t.ended {
 		t.ended = true
-		close(t.over)
+		close(t.done)
 	}
 }
--- a/internal/orders/term_test.go
+++ b/internal/orders/term_test.go
@@ -66,7 +66,7 @@
 		election := NewElection(ElectionConfig{Store: store, Prefix: "p/", Lease: lease, Logger: zerolog.Nop()})
 		term := newTerm(1, time.Now(), time.Now().Add(lease-leaseMargin), true)
 		ctx, cancel := context.WithCancel(context.Background())
-		go election.keep(ctx, term)
+		go election.keepLease(ctx, term)
 		var last time.Time
 		for range 1000 {
 			if term.MayOrder(time.Now()) {
@@ -93,15 +93,15 @@
 			Servers:       map[string]*fleet.Server{"s": {ID: "s", Pool: "p", Created: created}},
 		}
 	}
-	book := newLedger()
+	book := newServerTable()
 	book.sync(snapshot(5), time.Now())
-	book.reported(book.entries["s"], Report{Models: map[string]fleet.Held{"m": {}}}, time.Now())
+	book.applyReport(book.entries["s"], Report{Models: map[string]fleet.Held{"m": {}}}, time.Now())
 	told := book.version
 	book.sync(snapshot(5), time.Now())
-	Expect(book.states(told)).To(BeEmpty())
+	Expect(book.statesAfter(told)).To(BeEmpty())
 	book.sync(snapshot(9), time.Now())
-	Expect(book.states(told)).To(HaveLen(1))
-	Expect(book.states(told)[0].Created).To(BeEquivalentTo(9))
+	Expect(book.statesAfter(told)).To(HaveLen(1))
+	Expect(book.statesAfter(told)[0].Created).To(BeEquivalentTo(9))
 }
 
 // An order that was carried out late shows in the server's record.
@@ -131,7 +131,7 @@
 		t.Run(name, func(t *testing.T) {
 			RegisterTestingT(t)
 			found := &entry{
-				known: test.known, reportedAt: reported, models: map[string]*heldModel{"a": {}},
+				reported: test.known, reportedAt: reported, models: map[string]*heldModel{"a": {}},
 				server: &fleet.Server{Models: test.record, SeenAt: reported.Add(test.seen)},
 			}
 			Expect(found.stale()).To(Equal(test.stale))
--- a/internal/orders/turns.go
+++ b/internal/orders/turns.go
@@ -5,79 +5,84 @@
 	"time"
 )
 
-// turns keep when each server was last ordered, so that a holder that ends in
-// order can tell its successor, which then waits only at servers that were ordered
-// lately.
-type turns struct {
+// orderHistory records when each server was last sent an order. A holder that resigns passes it
+// to its successor, which then has to wait only at servers that were sent orders recently. It
+// is safe for concurrent use.
+type orderHistory struct {
 	mutex sync.Mutex
-	// wait between the orders of two holders to a server.
-	wait time.Duration
-	// inherited is when a predecessor may have ordered a server last.
+	// handoverPeriod is the minimum time between orders of two holders to the same server.
+	handoverPeriod time.Duration
+	// inherited is when each server may have been sent the last order of a predecessor.
 	inherited map[string]time.Time
-	// ordered is when this holder's last order to a server had ended, underWay how
-	// many have not.
-	ordered  map[string]time.Time
-	underWay map[string]int
-	// completeFrom is when all that may have been ordered within a wait is known.
+	// completed is when this holder's last order to a server ended, and inFlight counts the
+	// orders to a server that have not.
+	completed map[string]time.Time
+	inFlight  map[string]int
+	// completeFrom is when the history covers all orders of the last handover period.
 	completeFrom time.Time
 }
 
-func newTurns() *turns {
-	return &turns{inherited: map[string]time.Time{}, ordered: map[string]time.Time{}, underWay: map[string]int{}}
+func newOrderHistory() *orderHistory {
+	return &orderHistory{inherited: map[string]time.Time{}, completed: map[string]time.Time{}, inFlight: map[string]int{}}
 }
 
-// over reports whether the predecessors' turn at the server is over.
-func (t *turns) over(server string, now time.Time) bool { return t.remaining(server, now) <= 0 }
+// mayOrder reports whether the predecessors' handover period at the server has passed.
+func (h *orderHistory) mayOrder(server string, now time.Time) bool {
+	return h.remaining(server, now) <= 0
+}
 
-// remaining is the time until the predecessors' turn at the server is over.
-func (t *turns) remaining(server string, now time.Time) time.Duration {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	last, known := t.inherited[server]
+// remaining returns the time until the predecessors' handover period at the server has passed;
+// zero or less if it has.
+func (h *orderHistory) remaining(server string, now time.Time) time.Duration {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	last, known := h.inherited[server]
 	if !known {
 		return 0
 	}
-	return last.Add(t.wait).Sub(now)
+	return last.Add(h.handoverPeriod).Sub(now)
 }
 
-func (t *turns) begin(server string) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.underWay[server]++
+// begin records that an order is being sent to a server.
+func (h *orderHistory) begin(server string) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	h.inFlight[server]++
 }
 
-func (t *turns) done(server string, now time.Time) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.underWay[server]--
-	if t.underWay[server] == 0 {
-		delete(t.underWay, server)
+// end records that an order to a server was answered, or is not waited for any more.
+func (h *orderHistory) end(server string, now time.Time) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	h.inFlight[server]--
+	if h.inFlight[server] == 0 {
+		delete(h.inFlight, server)
 	}
-	t.ordered[server] = now
+	h.completed[server] = now
 }
 
-// recent tells for each server that was ordered within a wait how long ago that
-// was, in milliseconds, rounded down. It returns false if some orders of before
-// this holder's time may be missing.
-func (t *turns) recent(now time.Time) (ages map[string]int64, complete bool) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+// recent returns the age of the last order, in milliseconds rounded down, of each server that
+// was sent one within the handover period. It returns false if orders from before this holder's
+// term may be missing.
+func (h *orderHistory) recent(now time.Time) (ages map[string]int64, complete bool) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
 	ages = map[string]int64{}
-	for _, times := range []map[string]time.Time{t.inherited, t.ordered} {
+	for _, times := range []map[string]time.Time{h.inherited, h.completed} {
 		for server, at := range times {
-			if age := now.Sub(at); age < t.wait {
-				note(ages, server, max(age.Milliseconds(), 0))
+			if age := now.Sub(at); age < h.handoverPeriod {
+				noteAge(ages, server, max(age.Milliseconds(), 0))
 			}
 		}
 	}
-	for server := range t.underWay {
+	for server := range h.inFlight {
 		ages[server] = 0
 	}
-	return ages, !now.Before(t.completeFrom)
+	return ages, !now.Before(h.completeFrom)
 }
 
-// note keeps the least age.
-func note(ages map[string]int64, server string, age int64) {
+// noteAge stores the age of an order to a server unless a lower one is stored.
+func noteAge(ages map[string]int64, server string, age int64) {
 	if before, known := ages[server]; !known || age < before {
 		ages[server] = age
 	}
--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -47,7 +47,7 @@
 switch_off hold-who-came-back internal/forward/admission.go 'return f.coming(flow) || f.withinHold(flow, now)' 'return false'
 switch_off queue-wait internal/forward/tracker.go 'if ahead <= 0 {' 'if ahead <= 1<<30 {'
 switch_off caller-patience internal/forward/forwarder.go 'if fl.route.CallerPatience <= 0 {' 'if true {'
-switch_off loads-at-once internal/orders/ceiling.go 'min(int(c.tokens), c.atOnce-underWay.count)' 'min(int(c.tokens), max(int(1.75*rate), 1)-underWay.count)'
+switch_off loads-at-once internal/orders/ceiling.go 'min(int(l.tokens), l.maxConcurrent-inProgress.count)' 'min(int(l.tokens), max(int(1.75*rate), 1)-inProgress.count)'
 switch_off adapters-first internal/placement/plan.go '	p.loadAdapters()
 	p.loadModels()' '	p.loadModels()
 	p.loadAdapters()'
@@ -64,5 +64,5 @@
 switch_off pause-after-failure internal/mirror/reading.go 'min(max(2*m.failedPause, failedPause), longest)' 'min(failedPause, longest)'
 switch_off few-campaigns internal/orders/election.go 'if _, vacancy = e.vacancy(); vacancy == nil {' 'if false {'
 switch_off relay internal/mirror/mirror.go 'now.Sub(m.relayedAt) < m.trust()' 'false'
-switch_off first-loads-at-once internal/orders/ceiling.go 'if !c.learned && loadTime > 0 {' 'if false && !c.learned && loadTime > 0 {'
+switch_off first-loads-at-once internal/orders/ceiling.go 'if !l.measured && loadTime > 0 {' 'if false && !l.measured && loadTime > 0 {'
 switch_off quota-urgent-first internal/tenants/account.go 'share := reserveShare * rank' 'share := 0 * reserveShare * rank'
--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -33,14 +33,14 @@
 }
 
 # A large fleet.
-switch_off asked-in-waves internal/orders/asking.go 'for h.asking.workers < askAtOnce &&' 'for h.asking.workers < 1<<20 &&' ./internal/orders
+switch_off asked-in-waves internal/orders/asking.go 'for h.reports.workers < maxConcurrentReports &&' 'for h.reports.workers < 1<<20 &&' ./internal/orders
 switch_off idle-connections internal/exchange/client.go 'if c.mostIdle > 0 && c.kept >= c.mostIdle {' 'if false {' ./internal/exchange
 switch_off configuration-first internal/mirror/reading.go 'if m.isLarge(own) {' 'if m.isLarge(own) && false {' ./internal/mirror
 switch_off skipped-records internal/mirror/relay.go 'if !m.large || m.revision == 0 {' 'if true {' ./internal/mirror
 switch_off copy-after-gap internal/mirror/copy.go 'm.copied = max(m.copied, read.At-1)' '_ = read' ./internal/mirror
 switch_off two-steps internal/mirror/tree.go 'len(m.subscribers) < fanOut' 'true' ./internal/mirror
 switch_off new-relay-awaited internal/mirror/election.go 'return now.Sub(m.vacantAt) < share(electionShare, m.config.Times.Changes)' 'return false' ./internal/mirror
-switch_off wanted-told-at-once internal/orders/push.go 'for _, address := range h.demand.asking(key, now) {' 'for _, address := range h.demand.asking(key, now)[:0] {' ./internal/orders
+switch_off wanted-told-at-once internal/orders/push.go 'for _, address := range h.demand.nodesRequesting(key, now) {' 'for _, address := range h.demand.nodesRequesting(key, now)[:0] {' ./internal/orders
 
 forward=./internal/forward
 # At most once, attempts, budget.
@@ -70,7 +70,7 @@
 switch_off quota-near-share internal/ratelimit/alone.go 'share = nearShare' 'share = 10 * nearShare' $tenants
 switch_off quota-next-counter internal/ratelimit/limiter.go 'mostAsked = 3' 'mostAsked = 1' $tenants
 switch_off quota-counters-kept internal/orders/counters.go 'h.config.SavedCounters.save(update.Counters, now)' '' ./platform
-switch_off quota-counters-told internal/orders/counters.go 'changed := heard &&' 'changed := false && heard &&' ./platform
+switch_off quota-counters-told internal/orders/counters.go 'changed := collected &&' 'changed := false && collected &&' ./platform
 # Servers' limits.
 switch_off limit-read platform/notices.go 'told.Limit = parseLimit(text)' '_ = parseLimit(text)' ./platform
 switch_off limit-turn internal/serverlimit/serverlimit.go 'if !limit.Named {
@@ -93,12 +93,12 @@
 switch_off limit-last-choice internal/forward/choose.go '+ f.limitPenalty(flow, c.server)' '' ./internal/forward ./platform
 switch_off limit-little-use internal/placement/plan.go '+ p.replicasOfLittleUse(model, demand)' '' ./platform
 switch_off limit-refusal-ends internal/forward/limit.go 'if !f.limits.Limited(server) {' 'if false {' ./internal/forward
-switch_off counters-of-most internal/orders/counters.go 'if hearsMost(earlier.Addresses, live) {' 'if true {' ./platform
-switch_off counters-lost internal/orders/counters.go '|| now.Sub(h.countersHeardAt) >= countersLost' '' ./platform
+switch_off counters-of-most internal/orders/counters.go 'if majorityReports(earlier.Addresses, live) {' 'if true {' ./platform
+switch_off counters-lost internal/orders/counters.go '|| now.Sub(h.countersMajorityAt) >= countersTimeout' '' ./platform
 switch_off poison-vouched internal/poison/spread.go 'if served := g.endsWithServed(ends); len(served) > 0 {' 'if served := g.endsWithServed(ends); len(served) < 0 {' ./internal/poison
 switch_off poison-never-served internal/poison/ledger.go 'len(unseen) > 0 {' 'false && len(unseen) > 0 {' ./internal/poison
 switch_off limit-quorum-wakes internal/ratelimit/ask.go 'if !l.lookAgain(now) {' 'if true {' ./platform ./internal/ratelimit
-switch_off first-loads-at-once internal/orders/ceiling.go 'if !c.learned && loadTime > 0 {' 'if false && !c.learned && loadTime > 0 {' ./internal/orders
+switch_off first-loads-at-once internal/orders/ceiling.go 'if !l.measured && loadTime > 0 {' 'if false && !l.measured && loadTime > 0 {' ./internal/orders
 # Deadlines and callers that leave.
 switch_off route-timeout internal/forward/forwarder.go 'deadline := request.Accepted.Add(route.Timeout)' 'deadline := request.Accepted.Add(10 * route.Timeout)' $forward
 switch_off caller-deadline internal/forward/forwarder.go 'if request.Deadline.Before(deadline) {' 'if false {' $forward
@@ -169,35 +169,35 @@
 switch_off failing-server internal/forward/choose.go 'time.Duration(2 * c.load.failureRate' 'time.Duration(0 * c.load.failureRate' $forward
 # Orders.
 switch_off lease-end internal/orders/term.go '&& now.Before(t.validUntil)' '' ./platform
-switch_off turn internal/orders/term.go 'return !t.ended && t.entered && !now.Before(t.NotBefore)' 'return !t.ended' ./platform
-switch_off entered-before-order internal/orders/term.go '!t.ended && t.entered && ' '!t.ended && ' ./internal/orders
-switch_off later-holder-ends internal/orders/election.go 'e.endReplaced(record)' '' ./platform
+switch_off turn internal/orders/term.go 'return !t.ended && t.active && !now.Before(t.NotBefore)' 'return !t.ended' ./platform
+switch_off entered-before-order internal/orders/term.go '!t.ended && t.active && ' '!t.ended && ' ./internal/orders
+switch_off later-holder-ends internal/orders/election.go 'e.endSupersededTerm(record)' '' ./platform
 switch_off lease-from-sending internal/orders/renewal.go 'term.renew(sent.Add(' 'term.renew(sent.Add(time.Since(sent)).Add(' ./internal/orders
 switch_off expected-count platform/orders.go 'Expect: order.ExpectSequence' 'Expect: 0' ./platform
 switch_off instance-of-order platform/orders.go '[][2]string{{headerExpectInstance, order.Server.ID}}' 'nil' ./platform
 switch_off no-work-before-unload internal/orders/holder.go 'delete(target.models, action.Model)' '' ./internal/orders ./platform
 switch_off late-order-noticed internal/orders/ledger.go 'if !e.server.SeenAt.After(e.reportedAt.Add(recordLag)) {' 'if true {' ./internal/orders
-switch_off store-ceiling internal/orders/ceiling.go 'return max(min(int(c.tokens), c.atOnce-underWay.count), 0)' 'return 100' ./internal/orders
+switch_off store-ceiling internal/orders/ceiling.go 'return max(min(int(l.tokens), l.maxConcurrent-inProgress.count), 0)' 'return 100' ./internal/orders
 switch_off busy-server internal/placement/plan.go 'return !server.Busy && ' 'return ' ./internal/placement
 switch_off wait-for-server internal/placement/plan.go 'return w.cold || !server.Busy' 'return !server.Busy' ./internal/placement
 switch_off wait-for-idle internal/placement/victims.go 'if may && (w.cold || found.wait == 0)' 'if may && found.wait == 0' ./internal/placement
 switch_off overdue-orders internal/orders/ledger.go 'return e.busyUntil.Sub(now).Abs()' 'return max(e.busyUntil.Sub(now), 0)' ./internal/orders
-switch_off loads-at-once internal/orders/ceiling.go 'c.atOnce = max(min(' 'c.atOnce = max(c.atOnce, min(' ./internal/orders
+switch_off loads-at-once internal/orders/ceiling.go 'l.maxConcurrent = max(min(' 'l.maxConcurrent = max(l.maxConcurrent, min(' ./internal/orders
 switch_off told-again internal/orders/ledger.go 'found.server.Created != server.Created' 'false' ./internal/orders
 switch_off doubtful-loads internal/placement/plan.go 'have += p.doubtful[name]' '' ./internal/placement ./platform
-switch_off doubt-is-noted internal/orders/execute.go 'target.doubtful, target.doubtUntil = action.Model, time.Now().Add(doubtTime)' '' ./platform
+switch_off doubt-is-noted internal/orders/execute.go 'target.unconfirmedLoad, target.unconfirmedUntil = action.Model, time.Now().Add(unconfirmedLoadTime)' '' ./platform
 switch_off few-campaigns internal/orders/election.go 'if _, vacancy = e.vacancy(); vacancy == nil {' 'if false {' ./platform
 switch_off orders-in internal/forward/admission.go 'return ordersIn + load' 'return load' ./internal/forward
 switch_off orders-in-told internal/orders/link.go 'l.ordersFrom = now.Add(update.OrdersIn)' '' ./internal/orders ./platform
 switch_off unanswered-report internal/orders/link.go 'l.unanswered = true' '' ./internal/orders ./platform
-switch_off promises-to-who-waits internal/orders/demand.go 'if asked[key] {' 'if true {' ./internal/orders
+switch_off promises-to-who-waits internal/orders/demand.go 'if requested[key] {' 'if true {' ./internal/orders
 switch_off adapters-first internal/placement/plan.go '	p.loadAdapters()
 	p.loadModels()' '	p.loadModels()
 	p.loadAdapters()' ./internal/placement
 switch_off wanted-adapters-stay internal/placement/adapters.go 'wanted && p.adapterHolders(model, adapter) == 1' 'wanted && p.adapterHolders(model, adapter) == 0' ./internal/placement
-switch_off turn-at-each-server internal/orders/turns.go 'last, known := t.inherited[server]' 'last, known := t.inherited[server+"?"]' ./internal/orders ./platform
-switch_off recent-orders-complete internal/orders/turns.go 'return ages, !now.Before(t.completeFrom)' 'return ages, true' ./internal/orders ./platform
-switch_off successor-without-burst internal/orders/ceiling.go 'c.tokens = 0' 'c.tokens = burst' ./internal/orders
+switch_off turn-at-each-server internal/orders/turns.go 'last, known := h.inherited[server]' 'last, known := h.inherited[server+"?"]' ./internal/orders ./platform
+switch_off recent-orders-complete internal/orders/turns.go 'return ages, !now.Before(h.completeFrom)' 'return ages, true' ./internal/orders ./platform
+switch_off successor-without-burst internal/orders/ceiling.go 'l.tokens = 0' 'l.tokens = burst' ./internal/orders
 # Planned stops and claims.
 switch_off stop-acceptor-ahead internal/claims/claimset.go 'known && current.has(self) || s.acceptorAhead(shard)' 'known && current.has(self)' ./internal/claims
 switch_off stop-active-epoch internal/claims/acceptor.go 'if a.active.Epoch > known {' 'if false {' ./internal/claims
@@ -260,7 +260,7 @@
 switch_off ended-stay internal/mirror/restore.go 'ended && !lapsed' 'ended && !lapsed && false' $restores
 switch_off copies-after-restore internal/mirror/restore.go 'm.copyEntry, m.copyRevision = copyEntry{}, 0' '' ./internal/mirror
 switch_off era-asked-at-once internal/mirror/reading.go 'return shortestWait, 0' '' $restores
-switch_off renewals-unconfirmed internal/orders/renewal.go 'err == nil && !e.outlived(term)' 'err == nil' $restores
+switch_off renewals-unconfirmed internal/orders/renewal.go 'err == nil && !e.restoredSince(term)' 'err == nil' $restores
 switch_off last-holder-lost internal/orders/restore.go "return era > 0 && (last == nil" "return era > 0 && last != nil && last.Name == \"\" && (last == nil" $restores
 switch_off entries-outlast-restores internal/poison/guard.go 'g.record.restored(keyValues)' 'g.record.replace(keyValues)' ./internal/poison -run Restore
 switch_off counters-saved-again internal/orders/counters_record.go 'r.revision, r.saved = 0, ratelimit.Counters{}' '' ./platform
