--- a/internal/cells/allotment.go
+++ b/internal/cells/allotment.go
@@ -9,13 +9,13 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// ReplicasPerCell is how many replicas of one row a cell takes before the next
-// cell takes a part. Only when all cells have taken as many do they take more.
+// ReplicasPerCell is how many replicas of a row are assigned to one cell before the next cell is
+// used. Only when all cells have as many do they get more.
 const ReplicasPerCell = 8
 
-// CellsOf returns all cells in the order in which they take replicas of a base
-// model: the first takes the first slots. Adding a cell to the layout changes
-// the first cell of about one model in as many as there are cells.
+// CellsOf returns all cells in the order in which they are assigned replicas of a base model: the
+// first gets the first slots. Adding one cell to a layout of n-1 changes the first cell of about
+// one model in n.
 func (l Layout) CellsOf(model string) []string {
 	ranked := l.rank(model, len(l.Cells))
 	names := make([]string, len(ranked))
@@ -25,12 +25,11 @@
 	return names
 }
 
-// Allotments divides a row's replicas over the cells. The parts of the limits
-// add up to the row's, and the slots are disjoint. An adapter is divided as its
-// base is, so that no cell may load more replicas of an adapter than of its
-// base. A disabled row is given to one cell, with no replica.
+// Allotments divides a row's replicas over the cells. The shares of the limits add up to the row's,
+// and the slots are disjoint. An adapter is divided as its base is, so that no cell may load more
+// replicas of an adapter than of its base. A disabled row is assigned to one cell, with no replica.
 //
-// Each call hashes every cell; callers on the path of a request keep the result.
+// Each call hashes every cell; callers on the path of a request cache the result.
 func (l Layout) Allotments(row table.Row) []Allotment {
 	if len(l.Cells) == 0 {
 		return nil
@@ -51,7 +50,7 @@
 	return allotments
 }
 
-// baseOf returns the name of the model that decides a row's cells.
+// baseOf returns the name of the model that determines a row's cells.
 func baseOf(row table.Row) string {
 	if row.Kind == table.KindAdapter {
 		return row.Base
@@ -59,8 +58,8 @@
 	return row.Name
 }
 
-// divide splits a number of replicas over at most as many cells. No part
-// shrinks when the number grows, which keeps adapters within their bases.
+// divide splits a number of replicas over at most the given number of cells. No share shrinks when
+// the number of replicas grows, which keeps adapters within the shares of their bases.
 func divide(replicas, cells int) []int {
 	if replicas > cells*ReplicasPerCell {
 		return divideEvenly(replicas, cells)
@@ -85,7 +84,7 @@
 	return parts
 }
 
-// rank returns the first cells for a model.
+// rank returns the first count cells for a model, by rendezvous score.
 func (l Layout) rank(model string, count int) []candidate {
 	key := xxhash.Sum64String(model)
 	ranked := make([]candidate, len(l.Cells))
--- a/internal/cells/allotter.go
+++ b/internal/cells/allotter.go
@@ -10,45 +10,45 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// maxRememberedModels bounds the ranks that an Allotter keeps; beyond it they
-// are computed anew.
-const maxRememberedModels = 1 << 14
+// maxCachedEntries bounds the models, and the locations, whose cells a CachedLayout keeps. When there
+// are more it drops all of them and computes them again.
+const maxCachedEntries = 1 << 14
 
-// CachedLayout answers the questions to a Layout from what it computed before, so
-// that planning and reporting need not hash every cell for every row. It gives
-// the same answers as the Layout. Safe for concurrent use.
+// CachedLayout caches the results of a Layout's methods, so that planning and reporting need not
+// hash every cell for every row. It returns the same results as the Layout, and is safe for
+// concurrent use.
 type CachedLayout struct {
 	layout Layout
 	hashes []uint64
 
 	mutex sync.RWMutex
-	// ranked holds the first cells of a model, as many as were asked for.
+	// ranked holds the first cells of each model, as many as were requested.
 	ranked map[string][]string
-	// matching holds the indices of the cells that a location matches.
+	// matching holds the indices of the cells that match a location.
 	matching map[location][]int
 }
 
-// location is what a cell is matched by.
+// location holds the properties of a machine by which it is matched to cells.
 type location struct{ region, pool, zone string }
 
-// NewCachedLayout returns an allotter of a layout, which must not change.
+// NewCachedLayout returns a CachedLayout of a layout, which must not change afterwards.
 func NewCachedLayout(layout Layout) *CachedLayout {
-	a := &CachedLayout{layout: layout, ranked: map[string][]string{}, matching: map[location][]int{}}
+	c := &CachedLayout{layout: layout, ranked: map[string][]string{}, matching: map[location][]int{}}
 	for i := range layout.Cells {
-		a.hashes = append(a.hashes, xxhash.Sum64String(layout.Cells[i].Name))
+		c.hashes = append(c.hashes, xxhash.Sum64String(layout.Cells[i].Name))
 	}
-	return a
+	return c
 }
 
-// Allotment returns a cell's part of a row's replicas; the zero part if the row
-// gives the cell none.
-func (a *CachedLayout) Allotment(cell string, row table.Row) Allotment {
+// Allotment returns a cell's share of a row's replicas, without replicas if the row assigns none to
+// the cell.
+func (c *CachedLayout) Allotment(cell string, row table.Row) Allotment {
 	none := Allotment{Cell: cell}
-	if len(a.layout.Cells) == 0 {
+	if len(c.layout.Cells) == 0 {
 		return none
 	}
-	parts := divide(max(row.MaxReplicas, 0), len(a.layout.Cells))
-	index := slices.Index(a.cellsOf(baseOf(row), len(parts)), cell)
+	parts := divide(max(row.MaxReplicas, 0), len(c.layout.Cells))
+	index := slices.Index(c.cellsOf(baseOf(row), len(parts)), cell)
 	if index < 0 {
 		return none
 	}
@@ -64,47 +64,46 @@
 	}
 }
 
-// CellsOf returns the cells that may hold replicas of a row: those that
-// Layout.Allotments names, in the same order. The slice must not be changed.
-func (a *CachedLayout) CellsOf(row table.Row) []string {
-	if len(a.layout.Cells) == 0 {
+// CellsOf returns the cells that may hold replicas of a row: those of Layout.Allotments, in the
+// same order. The slice must not be modified.
+func (c *CachedLayout) CellsOf(row table.Row) []string {
+	if len(c.layout.Cells) == 0 {
 		return nil
 	}
-	return a.cellsOf(baseOf(row), len(divide(max(row.MaxReplicas, 0), len(a.layout.Cells))))
+	return c.cellsOf(baseOf(row), len(divide(max(row.MaxReplicas, 0), len(c.layout.Cells))))
 }
 
-// cellsOf returns the first cells of a base model.
-func (a *CachedLayout) cellsOf(model string, count int) []string {
-	a.mutex.RLock()
-	known := a.ranked[model]
-	a.mutex.RUnlock()
-	if len(known) >= count {
-		return known[:count:count]
+// cellsOf returns the first count cells for a base model.
+func (c *CachedLayout) cellsOf(model string, count int) []string {
+	c.mutex.RLock()
+	cached := c.ranked[model]
+	c.mutex.RUnlock()
+	if len(cached) >= count {
+		return cached[:count:count]
 	}
-	ranked := a.layout.rank(model, count)
+	ranked := c.layout.rank(model, count)
 	names := make([]string, count)
 	for index := range names {
 		names[index] = ranked[index].name
 	}
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	if len(a.ranked) >= maxRememberedModels {
-		clear(a.ranked)
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if len(c.ranked) >= maxCachedEntries {
+		clear(c.ranked)
 	}
-	a.ranked[model] = names
+	c.ranked[model] = names
 	return names
 }
 
-// ServerCell returns the cell that an engine belongs to, as Layout.ServerCell
-// does.
-func (a *CachedLayout) ServerCell(machine outside.Machine) (string, bool) {
+// ServerCell returns the cell that an engine belongs to, as Layout.ServerCell does.
+func (c *CachedLayout) ServerCell(machine outside.Machine) (string, bool) {
 	if !machine.Engine {
 		return "", false
 	}
 	key := mix(xxhash.Sum64String(string(machine.Server)))
 	best, found := candidate{}, false
-	for _, index := range a.matchingCells(&machine) {
-		next := candidate{name: a.layout.Cells[index].Name, score: mix(a.hashes[index] ^ key)}
+	for _, index := range c.matchingCells(&machine) {
+		next := candidate{name: c.layout.Cells[index].Name, score: mix(c.hashes[index] ^ key)}
 		if !found || next.before(best) {
 			best, found = next, true
 		}
@@ -112,24 +111,24 @@
 	return best.name, found
 }
 
-func (a *CachedLayout) matchingCells(machine *outside.Machine) []int {
+func (c *CachedLayout) matchingCells(machine *outside.Machine) []int {
 	at := location{region: machine.Region, pool: machine.Pool, zone: machine.Zone}
-	a.mutex.RLock()
-	indices, known := a.matching[at]
-	a.mutex.RUnlock()
-	if known {
+	c.mutex.RLock()
+	indices, cached := c.matching[at]
+	c.mutex.RUnlock()
+	if cached {
 		return indices
 	}
-	for index := range a.layout.Cells {
-		if a.layout.Cells[index].matches(*machine) {
+	for index := range c.layout.Cells {
+		if c.layout.Cells[index].matches(*machine) {
 			indices = append(indices, index)
 		}
 	}
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	if len(a.matching) >= maxRememberedModels {
-		clear(a.matching)
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if len(c.matching) >= maxCachedEntries {
+		clear(c.matching)
 	}
-	a.matching[at] = indices
+	c.matching[at] = indices
 	return indices
 }
--- a/internal/cells/allotter_test.go
+++ b/internal/cells/allotter_test.go
@@ -14,7 +14,7 @@
 )
 
 var _ = Describe("Allotter", func() {
-	It("gives each cell the part that the layout gives, also when a row changes", func() {
+	It("returns the shares of the layout, also when a row changes", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			layout := layoutOf(rapid.IntRange(0, 12).Draw(t, "cells"))
 			allotter := cells.NewCachedLayout(layout)
@@ -31,7 +31,7 @@
 					names = append(names, part.Cell)
 				}
 				if got := allotter.CellsOf(row); fmt.Sprint(got) != fmt.Sprint(names) {
-					t.Fatalf("cells %v, expected %v", got, names)
+					t.Fatalf("got cells %v, expected %v", got, names)
 				}
 				for _, cell := range layout.Cells {
 					part, given := expected[cell.Name]
@@ -46,7 +46,7 @@
 		})
 	})
 
-	It("finds a server's cell as the layout does", func() {
+	It("returns the cell of a server that the layout returns", func() {
 		layout := cells.Layout{}
 		for index := range 30 {
 			layout.Cells = append(layout.Cells, cells.Cell{
@@ -67,7 +67,7 @@
 	})
 })
 
-func BenchmarkAllotter(b *testing.B) {
+func BenchmarkCachedLayout(b *testing.B) {
 	for _, count := range []int{2, 833} {
 		allotter := cells.NewCachedLayout(layoutOf(count))
 		b.Run(fmt.Sprintf("%d cells", count), func(b *testing.B) {
--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -19,7 +19,7 @@
 	RunSpecs(t, "cells")
 }
 
-// layoutOf returns a layout of cells without restrictions.
+// layoutOf returns a layout of cells that match all machines.
 func layoutOf(count int) cells.Layout {
 	var layout cells.Layout
 	for index := range count {
@@ -45,14 +45,14 @@
 			seen := map[string]bool{}
 			for _, part := range layout.Allotments(row) {
 				if seen[part.Cell] || part.MinReplicas > part.MaxReplicas || int(part.FirstSlot) != maximum {
-					t.Fatalf("bad part %+v after %d slots", part, maximum)
+					t.Fatalf("invalid share %+v after %d slots", part, maximum)
 				}
 				seen[part.Cell] = true
 				minimum += part.MinReplicas
 				maximum += part.MaxReplicas
 			}
 			if minimum != row.MinReplicas || maximum != row.MaxReplicas || len(seen) == 0 {
-				t.Fatalf("parts add up to %d..%d in %d cells", minimum, maximum, len(seen))
+				t.Fatalf("shares add up to %d..%d in %d cells", minimum, maximum, len(seen))
 			}
 		})
 	})
@@ -77,7 +77,7 @@
 		})
 	})
 
-	It("give everything to the only cell and nothing without cells", func() {
+	It("assign everything to the only cell and nothing without cells", func() {
 		row := table.Row{Name: "m", MinReplicas: 2, MaxReplicas: 30}
 		Expect(layoutOf(1).Allotments(row)).To(Equal([]cells.Allotment{{Cell: "cell-0", MinReplicas: 2, MaxReplicas: 30}}))
 		Expect(layoutOf(0).Allotments(row)).To(BeEmpty())
@@ -92,7 +92,7 @@
 		Expect(layout.CellsOf("m")[0]).To(Equal(layout.Allotments(row)[0].Cell))
 	})
 
-	It("move only to the new cell, and about their share, when a cell is added", func() {
+	It("move only to the new cell, and in proportion, when a cell is added", func() {
 		const count, keys = 9, 5000
 		before, after := layoutOf(count), layoutOf(count+1)
 		movedModels, movedServers := 0, 0
@@ -109,7 +109,7 @@
 	})
 })
 
-// moved counts a key that changed its cell, which may only be to the new one.
+// moved counts a key whose cell changed, which must have become the new cell.
 func moved(before, after string) int {
 	if before == after {
 		return 0
@@ -139,7 +139,7 @@
 )
 
 var _ = Describe("Digest", func() {
-	It("depends on what the layout says, not on the order it is written in", func() {
+	It("depends on the content of the layout, not on its order", func() {
 		one := cells.Layout{Cells: []cells.Cell{{Name: "a", Zones: []string{"x", "y"}}, {Name: "b"}}}
 		two := cells.Layout{Cells: []cells.Cell{{Name: "b"}, {Name: "a", Zones: []string{"y", "x"}}}}
 		Expect(one.Digest()).To(Equal(two.Digest()))
--- a/internal/cells/digest.go
+++ b/internal/cells/digest.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest returns a word that is equal for equal layouts, whatever order their
-// cells, pools and zones are written in.
+// Digest returns a hash in hexadecimal that is equal for equal layouts, regardless of the order of
+// their cells, pools and zones.
 func (l Layout) Digest() string {
 	ordered := slices.Clone(l.Cells)
 	slices.SortFunc(ordered, func(a, b Cell) int { return strings.Compare(a.Name, b.Name) })
@@ -18,9 +18,9 @@
 		ordered[index].Pools = slices.Sorted(slices.Values(ordered[index].Pools))
 		ordered[index].Zones = slices.Sorted(slices.Values(ordered[index].Zones))
 	}
-	text, err := json.Marshal(ordered)
+	encoded, err := json.Marshal(ordered)
 	if err != nil {
-		panic(err) // a struct of plain fields always encodes
+		panic(err) // a struct of plain fields can always be encoded
 	}
-	return strconv.FormatUint(xxhash.Sum64(text), 16)
+	return strconv.FormatUint(xxhash.Sum64(encoded), 16)
 }
--- a/internal/cells/layout.go
+++ b/internal/cells/layout.go
@@ -15,18 +15,18 @@
 	Zones []string
 }
 
-// Layout is the division in force. It is the same on all nodes: its digest is
-// kept in the key-value service, and a node with another layout does not start.
+// Layout is the configured division into cells. It is the same on all nodes: its digest is kept in
+// the key-value service, and a node with another layout does not start.
 type Layout struct {
 	Cells []Cell
 }
 
-// Allotment is a cell's part of a model's replicas. The parts of a row add up
-// to the row's limits, so cells need not agree with each other.
+// Allotment is a cell's share of a row's replicas. The shares of a row add up to the row's limits,
+// so cells need not coordinate with each other.
 type Allotment struct {
 	Cell        string
 	MinReplicas int
 	MaxReplicas int
-	// FirstSlot is the number of the cell's first replica slot of the model.
+	// FirstSlot is the number of the first replica slot of the row in the cell.
 	FirstSlot outside.SlotID
 }
--- a/internal/cells/server.go
+++ b/internal/cells/server.go
@@ -8,10 +8,9 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// ServerCell returns the cell that an engine belongs to: of the cells that
-// match its region, pool and zone the one with the highest hash. An empty
-// region, pool list or zone list of a cell matches all. It returns false for
-// a machine that is no engine or that no cell matches.
+// ServerCell returns the cell that an engine belongs to: of the cells that match its region, pool
+// and zone, the one with the highest rendezvous score. An empty region, pool list or zone list of a
+// cell matches all. It returns false for a machine that is not an engine or that no cell matches.
 func (l Layout) ServerCell(machine outside.Machine) (string, bool) {
 	if !machine.Engine {
 		return "", false
@@ -43,7 +42,7 @@
 	score uint64
 }
 
-// before orders candidates: the highest score first, then by name.
+// before orders candidates by descending score, then by name.
 func (c candidate) before(other candidate) bool {
 	if c.score != other.score {
 		return c.score > other.score
@@ -51,7 +50,7 @@
 	return c.name < other.name
 }
 
-// score is the rendezvous hash of a cell and a key's hash.
+// score returns the rendezvous score of a cell for a key, given the key's hash.
 func score(cell string, key uint64) uint64 {
 	return mix(xxhash.Sum64String(cell) ^ mix(key))
 }
