--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -250,7 +250,7 @@
 }
 
 // Calls that the store refuses cost as much as others. While it is unavailable, followers call it
-// rarely and the relay often; after that the relay pushes the changes.
+// rarely and the relay often; once it answers again the relay pushes the changes.
 func TestUnavailableStoreIsCalledRarely(t *testing.T) {
 	withNodes(t, 3, func(d *deployment) {
 		for _, node := range d.nodes {
--- a/internal/mirror/restore_test.go
+++ b/internal/mirror/restore_test.go
@@ -74,7 +74,8 @@
 	})
 }
 
-// A build without eras echoes the revision of the subscription.
+// A build without eras echoes the revision of the subscription, which must not be taken for state
+// from after a restore.
 func TestUpdateWithoutEraIsIgnoredAfterARestore(t *testing.T) {
 	RegisterTestingT(t)
 	m := New(Config{View: fleet.NewView(), Own: &fakeOwn{values: map[string]string{}}, Times: testTimes})
