--- a/internal/mirror/snapshot_format.go
+++ b/internal/mirror/snapshot_format.go
@@ -115,9 +115,9 @@
 
 // modelSets shares equal sets of models between servers, most of which hold the same ones: the maps
 // of 10,000 servers with two models each take 8 MB otherwise.
-type modelSets map[string]map[string]fleet.Held
+type modelSets map[string]map[string]fleet.LoadedModel
 
-func (s modelSets) of(models []ModelRecord) map[string]fleet.Held {
+func (s modelSets) of(models []ModelRecord) map[string]fleet.LoadedModel {
 	var key strings.Builder
 	for _, model := range models {
 		key.WriteString(model.Name)
@@ -129,9 +129,9 @@
 	}
 	set, exists := s[key.String()]
 	if !exists {
-		set = make(map[string]fleet.Held, len(models))
+		set = make(map[string]fleet.LoadedModel, len(models))
 		for _, model := range models {
-			set[model.Name] = fleet.NewHeld(model.Adapters)
+			set[model.Name] = fleet.NewLoadedModel(model.Adapters)
 		}
 		s[key.String()] = set
 	}
