--- a/internal/forward/admission_test.go
+++ b/internal/forward/admission_test.go
@@ -13,8 +13,8 @@
 	"github.com/hatchplank/hatchplank/internal/result"
 )
 
-func TestRefusalsBeforeARouteIsFound(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestRefusesWithoutRouteOrConfiguration(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		outcome := b.forwarder.Serve(context.Background(), request("nowhere", "", time.Second), &recorder{})
 		Expect(outcome.Code).To(Equal(result.UnknownPath))
 		empty := New(Config{View: fleet.NewView(), Backend: b.backend, Budget: BudgetLimits{Window: time.Second}, Nodes: 1})
@@ -26,7 +26,7 @@
 
 // The Retry-After of a node without a configuration grows with the time that it has waited,
 // but not beyond what callers follow.
-func TestNodeWithoutConfigurationTellsWhenToComeBack(t *testing.T) {
+func TestRetryAfterOfNodeWithoutConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
 		empty := New(Config{View: fleet.NewView(), Budget: BudgetLimits{Window: time.Second}, Nodes: 1})
@@ -40,8 +40,8 @@
 	})
 }
 
-func TestHoldsAColdRequestThatItsObjectiveAllows(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestHoldsColdRequestWithinItsObjective(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		go func() {
 			time.Sleep(2 * time.Second)
 			Expect(b.forwarder.Demand()).To(ContainElement(HaveField("Waiting", 1)))
@@ -57,7 +57,7 @@
 }
 
 func TestRefusesAtOnceWhatCannotMeetItsObjective(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+	inVirtualTime(t, func(b *testbed) {
 		b.orders.ready = map[string]time.Time{"n": time.Now().Add(1200 * time.Millisecond)}
 		started := time.Now()
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "n", 5*time.Second), &recorder{})
@@ -74,10 +74,10 @@
 
 // While no holder gives orders no model is loaded, so a request for one is refused at once with a
 // Retry-After beyond that time. It holds for adapters as well, which take no time to load.
-func TestTellsWhenOrdersAreGivenAgain(t *testing.T) {
+func TestRetryAfterIncludesTimeUntilOrdersResume(t *testing.T) {
 	for _, known := range []bool{true, false} {
-		inVirtualTime(t, func(b *bench) {
-			b.orders.ordersIn, b.orders.unknown = 2*time.Second, !known
+		inVirtualTime(t, func(b *testbed) {
+			b.orders.ordersIn, b.orders.noHolder = 2*time.Second, !known
 			missing := request("stream", "m", 30*time.Second)
 			missing.Adapter = "a9"
 			started := time.Now()
@@ -94,8 +94,8 @@
 	}
 }
 
-func TestHoldsARequestThatCameBack(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestHoldsRetriedRequest(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		b.orders.ready = map[string]time.Time{"n": time.Now().Add(1200 * time.Millisecond)}
 		first := b.forwarder.Serve(context.Background(), request("stream", "n", 5*time.Second), &recorder{})
 		Expect(first.Code).To(Equal(result.NoBackEnd))
@@ -109,7 +109,7 @@
 }
 
 func TestStoppingNodeRefusesWhatItCannotSendInTime(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+	inVirtualTime(t, func(b *testbed) {
 		b.orders.ready = map[string]time.Time{"n": time.Now().Add(3 * time.Second)}
 		started := time.Now()
 		time.AfterFunc(500*time.Millisecond, func() { b.forwarder.Drain(started.Add(time.Second)) })
@@ -127,8 +127,8 @@
 	})
 }
 
-func TestRequestThatCameBackIsNotHeldToItsEnd(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestRetriedRequestIsRefusedBeforeItsDeadline(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		b.forwarder.Serve(context.Background(), request("stream", "n", 5*time.Second), &recorder{})
 		started := time.Now()
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "n", 4*time.Second), &recorder{})
@@ -138,8 +138,8 @@
 	})
 }
 
-func TestWaitsForThePlanBeforeItRefuses(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestWaitsForThePlanBeforeRefusing(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		started := time.Now()
 		time.AfterFunc(30*time.Millisecond, func() { b.orders.set("n", started.Add(500*time.Millisecond)) })
 		time.AfterFunc(500*time.Millisecond, func() {
@@ -151,8 +151,8 @@
 	})
 }
 
-func TestRefusesByThePlansTime(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestRetryAfterFollowsThePlan(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		started := time.Now()
 		time.AfterFunc(30*time.Millisecond, func() { b.orders.set("n", started.Add(1500*time.Millisecond)) })
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "n", 20*time.Second), &recorder{})
@@ -162,8 +162,8 @@
 	})
 }
 
-func TestWithoutAPlanTheRecordsTell(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestRetryAfterFollowsServerRecordsWithoutAPlan(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		started := time.Now()
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "n", 20*time.Second), &recorder{})
 		Expect(outcome.Code).To(Equal(result.NoBackEnd))
@@ -172,8 +172,8 @@
 	})
 }
 
-func TestHoldsOnWhereARefusalWouldComeLate(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestHoldsRequestWhereARefusalWouldComeLate(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		started := time.Now()
 		b.orders.set("n", started.Add(400*time.Millisecond))
 		time.AfterFunc(300*time.Millisecond, func() { b.orders.set("n", started.Add(2*time.Second)) })
@@ -183,8 +183,8 @@
 	})
 }
 
-func TestRefusesEarlyWhereThePlanSlipsEarly(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestRefusesEarlyWhenThePlanSlipsEarly(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		started := time.Now()
 		b.orders.set("n", started.Add(400*time.Millisecond))
 		time.AfterFunc(110*time.Millisecond, func() { b.orders.set("n", started.Add(2*time.Second)) })
@@ -195,9 +195,9 @@
 }
 
 func TestRefusesWhereTheQueueIsLongerThanTheObjective(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
-		b.view.ReplaceServers(map[string]*fleet.Server{"m1": {ID: "m1", Pool: poolOfModels, Slots: 8, Models: holds("m"), Zone: "z"}})
-		b.forwarder.tracker.recordRunTime(poolOfModels, 2*time.Second)
+	inVirtualTime(t, func(b *testbed) {
+		b.view.ReplaceServers(map[string]*fleet.Server{"m1": {ID: "m1", Pool: modelPool, Slots: 8, Models: holds("m"), Zone: "z"}})
+		b.forwarder.tracker.recordRunTime(modelPool, 2*time.Second)
 		b.forwarder.tracker.of("m1").setReported(Load{Reported: true, Running: 8, Waiting: 11, Slots: 8}, time.Now())
 		started := time.Now()
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 20*time.Second), &recorder{})
@@ -208,24 +208,24 @@
 	})
 }
 
-func TestWhoCameBackWaitsInTheQueue(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
-		b.view.ReplaceServers(map[string]*fleet.Server{"m1": {ID: "m1", Pool: poolOfModels, Slots: 8, Models: holds("m"), Zone: "z"}})
+func TestRetriedRequestWaitsInTheQueue(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
+		b.view.ReplaceServers(map[string]*fleet.Server{"m1": {ID: "m1", Pool: modelPool, Slots: 8, Models: holds("m"), Zone: "z"}})
 		b.forwarder.Serve(context.Background(), request("stream", "m", 20*time.Second), &recorder{})
-		b.forwarder.tracker.recordRunTime(poolOfModels, 2*time.Second)
+		b.forwarder.tracker.recordRunTime(modelPool, 2*time.Second)
 		b.forwarder.tracker.of("m1").setReported(Load{Reported: true, Running: 8, Waiting: 4, Slots: 8}, time.Now())
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 15*time.Second), &recorder{})
 		Expect(outcome.Code).To(Equal(result.OK))
 	})
 }
 
-func TestRefusesWhatWouldBeAnsweredAfterItsCallerLeaves(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestRefusesRequestThatWouldBeAnsweredAfterItsCallerLeaves(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		for _, patience := range []time.Duration{0, 2 * time.Second} {
 			route := *testRoutes()[0]
 			route.CallerPatience = patience
 			b.view.SetConfiguration(fleet.NewConfiguration(2, int64(2+patience), []*fleet.Route{&route}, []*fleet.Pool{{
-				Name: poolOfModels, Engine: testConfiguration().Pools[poolOfModels].Engine,
+				Name: modelPool, Engine: testConfiguration().Pools[modelPool].Engine,
 			}}, fleet.Limits{}))
 			b.forwarder.Serve(context.Background(), request("stream", "m", 20*time.Second), &recorder{})
 			started := time.Now()
@@ -244,9 +244,9 @@
 	})
 }
 
-func TestShortestQueueCounts(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
-		b.forwarder.tracker.recordRunTime(poolOfModels, 2*time.Second)
+func TestQueueWaitIsThatOfTheShortestQueue(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
+		b.forwarder.tracker.recordRunTime(modelPool, 2*time.Second)
 		b.forwarder.tracker.of("m2").setReported(Load{Reported: true, Running: 8, Waiting: 11, Slots: 8}, time.Now())
 		b.backend.answer["m1"] = streams(events(1, 3), time.Millisecond, io.EOF)
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 20*time.Second), &recorder{})
--- a/internal/forward/backoff_test.go
+++ b/internal/forward/backoff_test.go
@@ -13,18 +13,18 @@
 )
 
 // fakeBackoffs are the backoffs that servers requested.
-type askedBackoffs struct {
+type fakeBackoffs struct {
 	mutex sync.Mutex
 	until map[string]time.Time
 }
 
-func (p *askedBackoffs) BackoffUntil(server *fleet.Server) time.Time {
+func (p *fakeBackoffs) BackoffUntil(server *fleet.Server) time.Time {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.until[server.ID]
 }
 
-func (p *askedBackoffs) ask(pause time.Duration, servers ...string) {
+func (p *fakeBackoffs) backOff(pause time.Duration, servers ...string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, server := range servers {
@@ -33,24 +33,24 @@
 }
 
 // withBackoffs runs the body with a forwarder whose servers may request backoffs.
-func inBackoffs(t *testing.T, body func(b *bench, backoffs *askedBackoffs)) {
-	inVirtualTime(t, func(b *bench) {
-		backoffs := &askedBackoffs{until: map[string]time.Time{}}
+func withBackoffs(t *testing.T, body func(b *testbed, backoffs *fakeBackoffs)) {
+	inVirtualTime(t, func(b *testbed) {
+		backoffs := &fakeBackoffs{until: map[string]time.Time{}}
 		b.forwarder.backoffs = backoffs
 		body(b, backoffs)
 	})
 }
 
 // backsOff rejects a request and requests a backoff.
-func backsOff(backoffs *askedBackoffs, pause time.Duration) func(context.Context, Attempt) (*Reply, error) {
+func backsOff(backoffs *fakeBackoffs, pause time.Duration) func(context.Context, Attempt) (*Reply, error) {
 	return func(_ context.Context, attempt Attempt) (*Reply, error) {
-		backoffs.ask(pause, attempt.Server.ID)
+		backoffs.backOff(pause, attempt.Server.ID)
 		return nil, &AttemptError{Reason: FailureBackoff, Ran: result.RanNo, Load: Load{Reported: true, Slots: 8}}
 	}
 }
 
-func TestServerThatAsksForABackoffIsPassedOver(t *testing.T) {
-	inBackoffs(t, func(b *bench, backoffs *askedBackoffs) {
+func TestServerInBackoffIsNotChosen(t *testing.T) {
+	withBackoffs(t, func(b *testbed, backoffs *fakeBackoffs) {
 		b.backend.answer["m1"] = backsOff(backoffs, 3*time.Second)
 		for range 20 {
 			outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 5*time.Second), &recorder{})
@@ -63,10 +63,10 @@
 
 // While all servers that hold a model back off, the model is not missing: no load of it is
 // requested, and requests are refused at once with the time until the first backoff ends.
-func TestCallersAreToldWhenTheBackoffOfAllServersEnds(t *testing.T) {
-	inBackoffs(t, func(b *bench, backoffs *askedBackoffs) {
-		backoffs.ask(3*time.Second, "m1")
-		backoffs.ask(2*time.Second, "m2")
+func TestRetryAfterCoversTheShortestBackoff(t *testing.T) {
+	withBackoffs(t, func(b *testbed, backoffs *fakeBackoffs) {
+		backoffs.backOff(3*time.Second, "m1")
+		backoffs.backOff(2*time.Second, "m2")
 		for range 30 {
 			outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 20*time.Second), &recorder{})
 			Expect(outcome.Code).To(Equal(result.QueueFull))
@@ -84,9 +84,9 @@
 }
 
 func TestRequestIsHeldForABackoffThatItsObjectiveAllows(t *testing.T) {
-	inBackoffs(t, func(b *bench, backoffs *askedBackoffs) {
-		backoffs.ask(3*time.Second, "m1")
-		backoffs.ask(time.Second, "m2")
+	withBackoffs(t, func(b *testbed, backoffs *fakeBackoffs) {
+		backoffs.backOff(3*time.Second, "m1")
+		backoffs.backOff(time.Second, "m2")
 		outcome := b.forwarder.Serve(context.Background(), request("patient", "m", 10*time.Second), &recorder{})
 		Expect(outcome.Code).To(Equal(result.OK))
 		Expect(outcome.Cold).To(BeFalse())
@@ -97,14 +97,14 @@
 }
 
 // A server's notice may arrive between its choice and the attempt.
-func TestServerThatWasChosenIsNotSentToAfterItsWord(t *testing.T) {
-	for name, tells := range map[string]func(b *bench, backoffs *askedBackoffs){
-		"pause":   func(_ *bench, backoffs *askedBackoffs) { backoffs.ask(3*time.Second, "m1") },
-		"leaving": func(b *bench, _ *askedBackoffs) { b.view.SetLeaving(fleet.Life{ID: "m1"}) },
+func TestNoticeAfterTheChoiceKeepsTheRequestFromTheServer(t *testing.T) {
+	for name, notify := range map[string]func(b *testbed, backoffs *fakeBackoffs){
+		"pause":   func(_ *testbed, backoffs *fakeBackoffs) { backoffs.backOff(3*time.Second, "m1") },
+		"leaving": func(b *testbed, _ *fakeBackoffs) { b.view.SetLeaving(fleet.Life{ID: "m1"}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			inBackoffs(t, func(b *bench, backoffs *askedBackoffs) {
-				b.expectNothingSentAfter(func() { tells(b, backoffs) })
+			withBackoffs(t, func(b *testbed, backoffs *fakeBackoffs) {
+				b.expectNothingSentAfter(func() { notify(b, backoffs) })
 			})
 		})
 	}
@@ -112,14 +112,14 @@
 
 // expectNothingSentAfter chooses the only server for a request, m1, has it send a notice, and
 // expects that the request is not sent there and that its reserved capacity is released.
-func (b *bench) expectNothingSentAfter(tells func()) {
+func (b *testbed) expectNothingSentAfter(notify func()) {
 	asked := request("patient", "m", 10*time.Second)
 	flow := b.forwarder.newFlow(asked, b.view.Load().Configuration.Match(asked.Host, asked.Path))
 	b.view.UpdateServers(map[string]*fleet.Server{"m2": nil})
 	target, refusal := b.forwarder.nextTarget(context.Background(), flow)
 	Expect(refusal).To(BeNil())
 	Expect(target.server.ID).To(Equal("m1"))
-	tells()
+	notify()
 	outcome, next := b.forwarder.attempt(context.Background(), flow, target, &recorder{})
 	Expect(outcome).To(BeNil())
 	Expect(next).To(BeNil())
@@ -129,8 +129,8 @@
 }
 
 // A server that requests another backoff after each one costs a request one attempt per backoff.
-func TestBackoffsInARowCostOneAttemptEach(t *testing.T) {
-	inBackoffs(t, func(b *bench, backoffs *askedBackoffs) {
+func TestConsecutiveBackoffsCostOneAttemptEach(t *testing.T) {
+	withBackoffs(t, func(b *testbed, backoffs *fakeBackoffs) {
 		b.view.UpdateServers(map[string]*fleet.Server{"m2": nil})
 		b.backend.answer["m1"] = backsOff(backoffs, 900*time.Millisecond)
 		outcome := b.forwarder.Serve(context.Background(), request("patient", "m", 10*time.Second), &recorder{})
--- a/internal/forward/choose_test.go
+++ b/internal/forward/choose_test.go
@@ -14,8 +14,8 @@
 	"github.com/hatchplank/hatchplank/internal/result"
 )
 
-func TestServesAtTheServerInItsZone(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestPrefersTheServerInItsZone(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		answer := &recorder{}
 		outcome := b.forwarder.Serve(context.Background(), request("once", "", time.Second), answer)
 		Expect(outcome.Code).To(Equal(result.OK))
@@ -25,8 +25,8 @@
 	})
 }
 
-func TestServerThatSaysItDoesNotHoldTheModelIsLeftOut(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestServerThatDoesNotHoldTheModelIsNotTriedAgain(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		b.backend.answer["m1"] = fails(FailureNotHeld, result.RanNo)
 		// The other server is slower, so that m1 would be chosen but for its answer.
 		b.backend.answer["m2"] = after(100*time.Millisecond, b.backend.answer["m2"])
@@ -38,8 +38,8 @@
 	})
 }
 
-func TestServerThatCannotBeReachedIsTriedAtALowRate(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestUnreachableServerIsTriedAtALowRate(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		b.backend.answer["p1"] = fails(FailureConnect, result.RanNo)
 		for range 100 {
 			b.forwarder.Serve(context.Background(), request("once", "", time.Second), &recorder{})
@@ -51,9 +51,9 @@
 	})
 }
 
-func TestFailingServerGetsLessWork(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
-		b.backend.answer["p1"] = whole(500, "broken")
+func TestFailingServerGetsFewerRequests(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
+		b.backend.answer["p1"] = answers(500, "broken")
 		for range 40 {
 			b.forwarder.Serve(context.Background(), request("once", "", time.Second), &recorder{})
 			time.Sleep(20 * time.Millisecond)
@@ -62,8 +62,8 @@
 	})
 }
 
-func TestDrainingServerGetsNothing(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestDrainingServerGetsNoRequests(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		b.view.UpdateServers(map[string]*fleet.Server{"p1": {ID: "p1", Pool: plainPool, Slots: 2, Zone: "z", Draining: true}})
 		for range 10 {
 			b.forwarder.Serve(context.Background(), request("once", "", time.Second), &recorder{})
@@ -72,8 +72,8 @@
 	})
 }
 
-func TestFullServersGetNoMore(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestFullServersGetNoFurtherRequests(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		b.backend.answer["p1"], b.backend.answer["p2"] = hangs, hangs
 		const places = 2 * maxRequestsPerSlot * 2
 		for range places {
@@ -91,8 +91,8 @@
 }
 
 // A prefix that was sent to a server outweighs the server that all nodes prefer for it.
-func TestPromptsGoWhereTheyWereSentBefore(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestPromptsGoToTheServerThatHasThemCached(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		ask := func(number int) {
 			asked := request("stream", "m", 5*time.Second)
 			asked.PromptTokens = 9000
@@ -100,7 +100,7 @@
 			b.forwarder.Serve(context.Background(), asked, &recorder{})
 		}
 		server := func(draining bool) map[string]*fleet.Server {
-			return map[string]*fleet.Server{"m1": {ID: "m1", Pool: poolOfModels, Slots: 8, Models: holds("m"), Zone: "z", Draining: draining}}
+			return map[string]*fleet.Server{"m1": {ID: "m1", Pool: modelPool, Slots: 8, Models: holds("m"), Zone: "z", Draining: draining}}
 		}
 		b.backend.answer["m1"] = after(50*time.Millisecond, b.backend.answer["m1"])
 		b.backend.answer["m2"] = after(50*time.Millisecond, b.backend.answer["m2"])
@@ -118,7 +118,7 @@
 }
 
 func TestSharedPromptsGoToOneServer(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+	inVirtualTime(t, func(b *testbed) {
 		for range 10 {
 			asked := request("stream", "m", 5*time.Second)
 			asked.PromptTokens = 9000
@@ -132,8 +132,8 @@
 	})
 }
 
-func TestCountsNothingAfterTheEnd(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestCountersReturnToZero(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		b.backend.answer["m1"] = streams(append(events(1, 2), "x"), time.Millisecond, errors.New("reset"))
 		b.backend.answer["m2"] = hangs
 		for _, route := range []string{"stream", "patient", "once", "repeat"} {
--- a/internal/forward/fakes_test.go
+++ b/internal/forward/fakes_test.go
@@ -18,12 +18,12 @@
 	"github.com/hatchplank/hatchplank/internal/result"
 )
 
-// The tests of this package run in virtual time (testing/synctest), which
-// needs the testing package's own form.
+// The tests of this package run in virtual time with testing/synctest, which needs
+// plain tests of the testing package rather than Ginkgo specs.
 
 const (
-	poolOfModels = "models"
-	plainPool    = "plain"
+	modelPool = "models"
+	plainPool = "plain"
 )
 
 func testRoutes() []*fleet.Route {
@@ -37,8 +37,8 @@
 	// The route whose requests may run at most once has two attempts as well, so that only
 	// its kind prevents a second run.
 	return []*fleet.Route{
-		route("stream", fleet.KindStream, false, 2, poolOfModels, 800*time.Millisecond),
-		route("patient", fleet.KindStream, true, 2, poolOfModels, 4*time.Second),
+		route("stream", fleet.KindStream, false, 2, modelPool, 800*time.Millisecond),
+		route("patient", fleet.KindStream, true, 2, modelPool, 4*time.Second),
 		route("once", fleet.KindOnce, false, 2, plainPool, 100*time.Millisecond),
 		route("repeat", fleet.KindRepeatable, false, 2, plainPool, 100*time.Millisecond),
 	}
@@ -49,7 +49,7 @@
 		"m": {Name: "m", SizeMB: 70, LoadTime: 2 * time.Second},
 		"n": {Name: "n", SizeMB: 70, LoadTime: 2 * time.Second},
 	}}
-	return fleet.NewConfiguration(1, 1, testRoutes(), []*fleet.Pool{{Name: poolOfModels, Engine: engine}, {Name: plainPool}}, fleet.Limits{})
+	return fleet.NewConfiguration(1, 1, testRoutes(), []*fleet.Pool{{Name: modelPool, Engine: engine}, {Name: plainPool}}, fleet.Limits{})
 }
 
 // fakeBackend answers each attempt with the function set for its server.
@@ -109,14 +109,14 @@
 }
 
 // scriptedBody is a body that returns its parts one by one, each after the pause, and then an error.
-type pieces struct {
+type scriptedBody struct {
 	ctx   context.Context
 	parts []string
 	pause time.Duration
 	err   error
 }
 
-func (p *pieces) Read(buffer []byte) (int, error) {
+func (p *scriptedBody) Read(buffer []byte) (int, error) {
 	if p.pause > 0 {
 		select {
 		case <-p.ctx.Done():
@@ -132,7 +132,7 @@
 	return count, nil
 }
 
-func (p *pieces) Close() error { return nil }
+func (p *scriptedBody) Close() error { return nil }
 
 // events returns stream events with the IDs from and to and those between.
 func events(from, to int) []string {
@@ -146,15 +146,15 @@
 // streams answers with an event stream.
 func streams(parts []string, pause time.Duration, end error) func(context.Context, Attempt) (*Reply, error) {
 	return func(ctx context.Context, _ Attempt) (*Reply, error) {
-		return &Reply{Status: 200, Events: true, Body: &pieces{ctx: ctx, parts: append([]string(nil), parts...), pause: pause, err: end}}, nil
+		return &Reply{Status: 200, Events: true, Body: &scriptedBody{ctx: ctx, parts: append([]string(nil), parts...), pause: pause, err: end}}, nil
 	}
 }
 
-// whole answers with a complete body.
-func whole(status int, text string) func(context.Context, Attempt) (*Reply, error) {
+// answers replies with a complete body.
+func answers(status int, text string) func(context.Context, Attempt) (*Reply, error) {
 	return func(ctx context.Context, _ Attempt) (*Reply, error) {
 		time.Sleep(5 * time.Millisecond)
-		return &Reply{Status: status, Body: &pieces{ctx: ctx, parts: []string{text}, err: io.EOF}}, nil
+		return &Reply{Status: status, Body: &scriptedBody{ctx: ctx, parts: []string{text}, err: io.EOF}}, nil
 	}
 }
 
@@ -180,9 +180,9 @@
 
 // fakeOrders are the plans of a holder of orders.
 type fakeOrders struct {
-	// ordersIn is the time until orders are given; unknown: there is no holder.
+	// ordersIn is the time until orders are given; noHolder: no node gives any.
 	ordersIn time.Duration
-	unknown  bool
+	noHolder bool
 	mutex    sync.Mutex
 	ready    map[string]time.Time
 }
@@ -201,10 +201,10 @@
 	return at, loading
 }
 
-func (o *fakeOrders) OrdersIn() (time.Duration, bool) { return o.ordersIn, !o.unknown }
+func (o *fakeOrders) OrdersIn() (time.Duration, bool) { return o.ordersIn, !o.noHolder }
 
 // testbed is a forwarder with two servers that hold models and two that need none.
-type bench struct {
+type testbed struct {
 	forwarder *Forwarder
 	view      *fleet.View
 	backend   *fakeBackend
@@ -222,18 +222,18 @@
 	return held
 }
 
-func newBench(slack float64) *bench {
-	b := &bench{view: fleet.NewView(), backend: &fakeBackend{}, orders: &fakeOrders{}}
+func newTestbed(slack float64) *testbed {
+	b := &testbed{view: fleet.NewView(), backend: &fakeBackend{}, orders: &fakeOrders{}}
 	b.view.SetConfiguration(testConfiguration())
 	b.view.ReplaceServers(map[string]*fleet.Server{
-		"m1": {ID: "m1", Pool: poolOfModels, Slots: 8, Models: holds("m"), Zone: "z"},
-		"m2": {ID: "m2", Pool: poolOfModels, Slots: 8, Models: holds("m"), Zone: "y"},
+		"m1": {ID: "m1", Pool: modelPool, Slots: 8, Models: holds("m"), Zone: "z"},
+		"m2": {ID: "m2", Pool: modelPool, Slots: 8, Models: holds("m"), Zone: "y"},
 		"p1": {ID: "p1", Pool: plainPool, Slots: 2, Zone: "z"},
 		"p2": {ID: "p2", Pool: plainPool, Slots: 2, Zone: "y"},
 	})
 	b.backend.answer = map[string]func(context.Context, Attempt) (*Reply, error){
 		"m1": streams(events(1, 3), time.Millisecond, io.EOF), "m2": streams(events(1, 3), time.Millisecond, io.EOF),
-		"p1": whole(200, "fine"), "p2": whole(200, "fine"),
+		"p1": answers(200, "fine"), "p2": answers(200, "fine"),
 	}
 	b.forwarder = New(Config{
 		View: b.view, Backend: b.backend, Orders: b.orders, Zone: "z", Nodes: 1,
@@ -254,16 +254,16 @@
 	}
 }
 
-func inVirtualTime(t *testing.T, body func(b *bench)) {
+func inVirtualTime(t *testing.T, body func(b *testbed)) {
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
-		body(newBench(100))
+		body(newTestbed(100))
 	})
 }
 
-// brokenBody answers with a body that breaks off.
-func brokenBody(ctx context.Context, _ Attempt) (*Reply, error) {
-	return &Reply{Status: 200, Body: &pieces{ctx: ctx, parts: []string{"fi"}, err: io.ErrUnexpectedEOF}}, nil
+// breaksOff answers with a body that breaks off.
+func breaksOff(ctx context.Context, _ Attempt) (*Reply, error) {
+	return &Reply{Status: 200, Body: &scriptedBody{ctx: ctx, parts: []string{"fi"}, err: io.ErrUnexpectedEOF}}, nil
 }
 
 func answerOf(answer func(context.Context, Attempt) (*Reply, error), ctx context.Context, attempt Attempt) (*Reply, error, bool) {
@@ -271,19 +271,19 @@
 	return reply, err, true
 }
 
-// streamThenSilence answers with events after which the stream stalls.
-func streamThenSilence(parts []string) func(context.Context, Attempt) (*Reply, error) {
+// stallsAfter answers with events after which the stream stalls.
+func stallsAfter(parts []string) func(context.Context, Attempt) (*Reply, error) {
 	return func(ctx context.Context, _ Attempt) (*Reply, error) {
-		return &Reply{Status: 200, Events: true, Body: &silentAfter{pieces: pieces{ctx: ctx, parts: parts}}}, nil
+		return &Reply{Status: 200, Events: true, Body: &stalledBody{scriptedBody: scriptedBody{ctx: ctx, parts: parts}}}, nil
 	}
 }
 
 // stalledBody returns its parts and then blocks until its context ends.
-type silentAfter struct{ pieces }
+type stalledBody struct{ scriptedBody }
 
-func (s *silentAfter) Read(buffer []byte) (int, error) {
+func (s *stalledBody) Read(buffer []byte) (int, error) {
 	if len(s.parts) > 0 {
-		return s.pieces.Read(buffer)
+		return s.scriptedBody.Read(buffer)
 	}
 	<-s.ctx.Done()
 	return 0, s.ctx.Err()
@@ -292,16 +292,16 @@
 // pausing answers with one event, the others after a pause, and the end after another pause.
 func pausing(pause time.Duration) func(context.Context, Attempt) (*Reply, error) {
 	return func(ctx context.Context, _ Attempt) (*Reply, error) {
-		first := &pieces{ctx: ctx, parts: events(1, 1), err: io.EOF}
-		rest := &pieces{ctx: ctx, parts: []string{strings.Join(events(2, 5), "")}, pause: pause, err: io.EOF}
-		return &Reply{Status: 200, Events: true, Body: &chained{bodies: []io.ReadCloser{first, rest}}}, nil
+		first := &scriptedBody{ctx: ctx, parts: events(1, 1), err: io.EOF}
+		rest := &scriptedBody{ctx: ctx, parts: []string{strings.Join(events(2, 5), "")}, pause: pause, err: io.EOF}
+		return &Reply{Status: 200, Events: true, Body: &chainedBody{bodies: []io.ReadCloser{first, rest}}}, nil
 	}
 }
 
 // chainedBody reads one body after the other.
-type chained struct{ bodies []io.ReadCloser }
+type chainedBody struct{ bodies []io.ReadCloser }
 
-func (c *chained) Read(buffer []byte) (int, error) {
+func (c *chainedBody) Read(buffer []byte) (int, error) {
 	count, err := c.bodies[0].Read(buffer)
 	if errors.Is(err, io.EOF) && len(c.bodies) > 1 {
 		c.bodies = c.bodies[1:]
@@ -310,4 +310,4 @@
 	return count, err
 }
 
-func (c *chained) Close() error { return nil }
+func (c *chainedBody) Close() error { return nil }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -13,7 +13,7 @@
 	"github.com/hatchplank/hatchplank/internal/result"
 )
 
-func TestRunsAtMostOnceWhatMayNotRepeat(t *testing.T) {
+func TestNonRepeatableRequestRunsAtMostOnce(t *testing.T) {
 	cases := map[string]struct {
 		first    func(context.Context, Attempt) (*Reply, error)
 		attempts int
@@ -23,11 +23,11 @@
 		"never sent":      {fails(FailureConnect, result.RanNo), 2, result.OK, result.RanYes},
 		"refused as full": {fails(FailureFull, result.RanNo), 2, result.OK, result.RanYes},
 		"answer lost":     {fails(FailureBroken, result.RanUnknown), 1, result.OutcomeUnknown, result.RanUnknown},
-		"server failed":   {whole(500, "broken"), 1, result.OK, result.RanYes},
+		"server failed":   {answers(500, "broken"), 1, result.OK, result.RanYes},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			inVirtualTime(t, func(b *bench) {
+			inVirtualTime(t, func(b *testbed) {
 				b.backend.answer["p1"] = test.first
 				outcome := b.forwarder.Serve(context.Background(), request("once", "", time.Second), &recorder{})
 				Expect(outcome.Code).To(Equal(test.code))
@@ -38,23 +38,23 @@
 	}
 }
 
-func TestRepeatsWhatMayRepeatWithinItsAttempts(t *testing.T) {
+func TestRepeatableRequestIsRetriedWithinItsAttempts(t *testing.T) {
 	cases := map[string]struct {
 		first, second func(context.Context, Attempt) (*Reply, error)
 		code          result.Code
 		status        int
 		attempts      int
 	}{
-		"answer lost":           {fails(FailureBroken, result.RanUnknown), whole(200, "fine"), result.OK, 200, 2},
-		"server failed":         {whole(500, "broken"), whole(200, "fine"), result.OK, 200, 2},
-		"hangs":                 {hangs, whole(200, "fine"), result.OK, 200, 2},
-		"both fail":             {whole(500, "broken"), whole(500, "broken"), result.OK, 500, 2},
+		"answer lost":           {fails(FailureBroken, result.RanUnknown), answers(200, "fine"), result.OK, 200, 2},
+		"server failed":         {answers(500, "broken"), answers(200, "fine"), result.OK, 200, 2},
+		"hangs":                 {hangs, answers(200, "fine"), result.OK, 200, 2},
+		"both fail":             {answers(500, "broken"), answers(500, "broken"), result.OK, 500, 2},
 		"both lose the answer":  {fails(FailureBroken, result.RanUnknown), fails(FailureBroken, result.RanUnknown), result.OutcomeUnknown, 0, 2},
-		"answer broken halfway": {brokenBody, whole(200, "fine"), result.OK, 200, 2},
+		"answer broken halfway": {breaksOff, answers(200, "fine"), result.OK, 200, 2},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			inVirtualTime(t, func(b *bench) {
+			inVirtualTime(t, func(b *testbed) {
 				b.backend.answer["p1"], b.backend.answer["p2"] = test.first, test.second
 				answer := &recorder{}
 				outcome := b.forwarder.Serve(context.Background(), request("repeat", "", time.Second), answer)
@@ -69,10 +69,10 @@
 	}
 }
 
-func TestRetryBudgetBoundsRepetitions(t *testing.T) {
+func TestRetryBudgetBoundsRetries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
-		b := newBench(8)
+		b := newTestbed(8)
 		b.backend.answer["p1"] = fails(FailureFull, result.RanNo)
 		b.backend.answer["p2"] = fails(FailureFull, result.RanNo)
 		const requests = 100
@@ -86,25 +86,25 @@
 }
 
 // A request that takes long is reported once, with its server.
-func TestTellsOfRequestsThatTakeLong(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
-		var told []LongRunning
-		b.forwarder.longRunning = func(seen LongRunning) { told = append(told, seen) }
+func TestReportsLongRunningRequests(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
+		var reported []LongRunning
+		b.forwarder.longRunning = func(seen LongRunning) { reported = append(reported, seen) }
 		b.forwarder.Serve(context.Background(), request("once", "", time.Minute), &recorder{})
-		Expect(told).To(BeEmpty())
+		Expect(reported).To(BeEmpty())
 		for id := range b.backend.answer {
 			b.backend.answer[id] = hangs
 		}
 		b.forwarder.Serve(context.Background(), request("once", "", time.Minute), &recorder{})
-		Expect(told).To(HaveLen(1))
-		Expect(told[0].Server).NotTo(BeEmpty())
-		Expect(told[0].Route).To(Equal("once"))
+		Expect(reported).To(HaveLen(1))
+		Expect(reported[0].Server).NotTo(BeEmpty())
+		Expect(reported[0].Route).To(Equal("once"))
 	})
 }
 
 func TestEndsAtTheRoutesTimeout(t *testing.T) {
 	for _, route := range []string{"once", "stream"} {
-		inVirtualTime(t, func(b *bench) {
+		inVirtualTime(t, func(b *testbed) {
 			for id := range b.backend.answer {
 				b.backend.answer[id] = hangs
 			}
@@ -120,7 +120,7 @@
 }
 
 func TestAnswersBeforeTheCallersDeadline(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+	inVirtualTime(t, func(b *testbed) {
 		b.backend.answer["p1"] = hangs
 		started := time.Now()
 		b.forwarder.Serve(context.Background(), request("once", "", time.Second), &recorder{})
@@ -129,8 +129,8 @@
 	})
 }
 
-func TestCallerThatLeavesEndsTheAttempt(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestAttemptIsCancelledWhenTheCallerLeaves(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		b.backend.answer["m1"] = streams(events(1, 100), 50*time.Millisecond, io.EOF)
 		b.backend.answer["m2"] = b.backend.answer["m1"]
 		ctx, leave := context.WithCancel(context.Background())
@@ -142,8 +142,8 @@
 	})
 }
 
-func TestEndOfTheNodeGivesEachRequestItsAnswer(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestCloseAnswersEachRequest(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		b.backend.answer["p1"] = hangs
 		b.backend.answer["p2"] = hangs
 		b.backend.answer["m1"] = streams(events(1, 1000), 50*time.Millisecond, io.EOF)
@@ -166,16 +166,16 @@
 	})
 }
 
-func TestRequestThatMayRepeatWaitsForAnotherServer(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
-		b.view.ReplaceServers(map[string]*fleet.Server{"m1": {ID: "m1", Pool: poolOfModels, Slots: 8, Models: holds("m")}})
+func TestRepeatableRequestWaitsForAnotherServer(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
+		b.view.ReplaceServers(map[string]*fleet.Server{"m1": {ID: "m1", Pool: modelPool, Slots: 8, Models: holds("m")}})
 		b.backend.answer["m1"] = func(context.Context, Attempt) (*Reply, error) {
 			time.Sleep(3900 * time.Millisecond)
 			b.view.ReplaceServers(map[string]*fleet.Server{})
 			return nil, &AttemptError{Reason: FailureBroken, Ran: result.RanUnknown}
 		}
 		time.AfterFunc(4500*time.Millisecond, func() {
-			b.view.ReplaceServers(map[string]*fleet.Server{"m2": {ID: "m2", Pool: poolOfModels, Slots: 8, Models: holds("m")}})
+			b.view.ReplaceServers(map[string]*fleet.Server{"m2": {ID: "m2", Pool: modelPool, Slots: 8, Models: holds("m")}})
 		})
 		outcome := b.forwarder.Serve(context.Background(), request("patient", "m", 5*time.Second), &recorder{})
 		Expect(outcome.Code).To(Equal(result.OK))
@@ -183,15 +183,15 @@
 	})
 }
 
-func TestSlowAttemptIsNotEndedWhereNoOtherServerCanTakeIt(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestSlowAttemptGoesOnWhereNoOtherServerCanTakeIt(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		b.view.ReplaceServers(map[string]*fleet.Server{"p1": {ID: "p1", Pool: plainPool, Slots: 2, Zone: "z"}})
 		b.backend.answer["p1"] = func(ctx context.Context, attempt Attempt) (*Reply, error) {
 			select {
 			case <-ctx.Done():
 				return nil, &AttemptError{Reason: FailureBroken, Ran: result.RanUnknown, Cause: ctx.Err()}
 			case <-time.After(800 * time.Millisecond):
-				return whole(200, "fine")(ctx, attempt)
+				return answers(200, "fine")(ctx, attempt)
 			}
 		}
 		outcome := b.forwarder.Serve(context.Background(), request("repeat", "", time.Second), &recorder{})
--- a/internal/forward/limit_test.go
+++ b/internal/forward/limit_test.go
@@ -21,7 +21,7 @@
 	grants map[string]serverlimit.Grant
 	// taken and returned count slots; maxWait is the longest wait that was allowed.
 	taken, returned int
-	mostWait        time.Duration
+	maxWait         time.Duration
 }
 
 func (l *fakeLimits) Take(_ context.Context, server *fleet.Server, need serverlimit.Need) serverlimit.Grant {
@@ -31,7 +31,7 @@
 	if !limited {
 		return serverlimit.Grant{Within: true}
 	}
-	l.mostWait = max(l.mostWait, need.MaxWait)
+	l.maxWait = max(l.maxWait, need.MaxWait)
 	grant.Limited, grant.Within = true, grant.RoomIn == 0 && grant.In <= need.MaxWait
 	if grant.Within {
 		l.taken++
@@ -66,7 +66,7 @@
 }
 
 // announce makes servers announce a limit, with the grant for each request.
-func (l *fakeLimits) name(grant serverlimit.Grant, servers ...string) {
+func (l *fakeLimits) announce(grant serverlimit.Grant, servers ...string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, server := range servers {
@@ -75,7 +75,7 @@
 }
 
 // withdraw ends the servers' limits.
-func (l *fakeLimits) end(servers ...string) {
+func (l *fakeLimits) withdraw(servers ...string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, server := range servers {
@@ -83,43 +83,43 @@
 	}
 }
 
-func withLimits(t *testing.T, body func(b *bench, limits *fakeLimits)) {
-	inVirtualTime(t, func(b *bench) {
+func withLimits(t *testing.T, body func(b *testbed, limits *fakeLimits)) {
+	inVirtualTime(t, func(b *testbed) {
 		limits := &fakeLimits{grants: map[string]serverlimit.Grant{}}
 		b.forwarder.limits = limits
 		body(b, limits)
 	})
 }
 
-func TestRequestWaitsForItsTurn(t *testing.T) {
-	withLimits(t, func(b *bench, limits *fakeLimits) {
-		limits.name(serverlimit.Grant{In: 700 * time.Millisecond}, "m1", "m2")
+func TestRequestWaitsForItsSlot(t *testing.T) {
+	withLimits(t, func(b *testbed, limits *fakeLimits) {
+		limits.announce(serverlimit.Grant{In: 700 * time.Millisecond}, "m1", "m2")
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 5*time.Second), &recorder{})
 		Expect(outcome.Code).To(Equal(result.OK))
 		Expect(outcome.Held).To(BeNumerically("~", 700*time.Millisecond, 10*time.Millisecond))
 		Expect(outcome.Cold).To(BeFalse())
-		Expect(limits.mostWait).To(Equal(800*time.Millisecond), "its objective")
+		Expect(limits.maxWait).To(Equal(800*time.Millisecond), "its objective")
 		Expect([]int{limits.taken, limits.returned}).To(Equal([]int{1, 0}))
 	})
 }
 
 // A request without a slot in time is refused at once, with the time of its slot.
-func TestRequestWithoutATurnInTimeIsRefusedAtOnce(t *testing.T) {
+func TestRequestWithoutASlotInTimeIsRefusedAtOnce(t *testing.T) {
 	for name, grant := range map[string]serverlimit.Grant{
-		"later": {In: 1200 * time.Millisecond}, "given to others": {RoomIn: 1200 * time.Millisecond},
-		"given to others, within the objective": {RoomIn: 600 * time.Millisecond},
+		"later": {In: 1200 * time.Millisecond}, "slots are taken": {RoomIn: 1200 * time.Millisecond},
+		"slots are taken, free again within the objective": {RoomIn: 600 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withLimits(t, func(b *bench, limits *fakeLimits) {
-				turn := max(grant.In, grant.RoomIn)
-				limits.name(grant, "m1", "m2")
+			withLimits(t, func(b *testbed, limits *fakeLimits) {
+				slotIn := max(grant.In, grant.RoomIn)
+				limits.announce(grant, "m1", "m2")
 				began := time.Now()
 				outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 9*time.Second), &recorder{})
 				Expect(outcome.Code).To(Equal(result.QueueFull))
 				Expect(outcome.Ran).To(Equal(result.RanNo))
 				Expect(time.Since(began)).To(BeZero())
-				Expect(outcome.RetryAfter).To(BeNumerically(">=", turn))
-				Expect(outcome.RetryAfter).To(BeNumerically("<=", turn+time.Second), "at most an interval later")
+				Expect(outcome.RetryAfter).To(BeNumerically(">=", slotIn))
+				Expect(outcome.RetryAfter).To(BeNumerically("<=", slotIn+time.Second), "at most an interval later")
 				Expect(b.backend.servers()).To(BeEmpty())
 				Expect(b.forwarder.Demand()).To(HaveEach(HaveField("Waiting", 0)), "nothing is missing")
 			})
@@ -128,8 +128,8 @@
 }
 
 func TestServersWithALimitAreTheLastChoice(t *testing.T) {
-	withLimits(t, func(b *bench, limits *fakeLimits) {
-		limits.name(serverlimit.Grant{}, "m1")
+	withLimits(t, func(b *testbed, limits *fakeLimits) {
+		limits.announce(serverlimit.Grant{}, "m1")
 		for range 20 {
 			outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 5*time.Second), &recorder{})
 			Expect(outcome.Code).To(Equal(result.OK))
@@ -143,30 +143,30 @@
 
 // A slot is given back when its request goes elsewhere, its caller leaves, or its server shuts
 // down or is unreachable.
-func TestTurnThatIsNotUsedIsGivenBack(t *testing.T) {
-	for name, body := range map[string]func(b *bench, limits *fakeLimits){
-		"another server": func(b *bench, limits *fakeLimits) {
+func TestUnusedSlotIsGivenBack(t *testing.T) {
+	for name, body := range map[string]func(b *testbed, limits *fakeLimits){
+		"another server": func(b *testbed, limits *fakeLimits) {
 			m2 := b.view.Load().Servers["m2"]
 			b.view.UpdateServers(map[string]*fleet.Server{"m2": nil})
 			time.AfterFunc(300*time.Millisecond, func() { b.view.UpdateServers(map[string]*fleet.Server{"m2": m2}) })
 			outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 5*time.Second), &recorder{})
 			Expect(outcome.Server).To(Equal("m2"))
 		},
-		"caller leaves": func(b *bench, _ *fakeLimits) {
+		"caller leaves": func(b *testbed, _ *fakeLimits) {
 			b.view.UpdateServers(map[string]*fleet.Server{"m2": nil})
 			ctx, cancel := context.WithCancel(context.Background())
 			time.AfterFunc(300*time.Millisecond, cancel)
 			outcome := b.forwarder.Serve(ctx, request("stream", "m", 5*time.Second), &recorder{})
 			Expect(outcome.Code).To(Equal(result.CallerGone))
 		},
-		"server leaves": func(b *bench, _ *fakeLimits) {
+		"server leaves": func(b *testbed, _ *fakeLimits) {
 			b.view.UpdateServers(map[string]*fleet.Server{"m2": nil})
 			time.AfterFunc(300*time.Millisecond, func() { b.view.SetLeaving(fleet.Life{ID: "m1"}) })
 			outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 5*time.Second), &recorder{})
 			Expect(outcome.Ran).To(Equal(result.RanNo))
 			Expect(b.backend.servers()).To(BeEmpty())
 		},
-		"not reached": func(b *bench, _ *fakeLimits) {
+		"not reached": func(b *testbed, _ *fakeLimits) {
 			b.view.UpdateServers(map[string]*fleet.Server{"m2": nil})
 			b.backend.answer["m1"] = fails(FailureConnect, result.RanNo)
 			outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 5*time.Second), &recorder{})
@@ -174,8 +174,8 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withLimits(t, func(b *bench, limits *fakeLimits) {
-				limits.name(serverlimit.Grant{In: 700 * time.Millisecond}, "m1")
+			withLimits(t, func(b *testbed, limits *fakeLimits) {
+				limits.announce(serverlimit.Grant{In: 700 * time.Millisecond}, "m1")
 				body(b, limits)
 				Expect(limits.returned).To(Equal(limits.taken))
 			})
@@ -184,20 +184,20 @@
 }
 
 // A server may announce a limit between its choice and the attempt.
-func TestServerThatNamesALimitAfterItWasChosenIsAskedForATurn(t *testing.T) {
-	withLimits(t, func(b *bench, limits *fakeLimits) {
-		b.expectNothingSentAfter(func() { limits.name(serverlimit.Grant{}, "m1") })
+func TestLimitAnnouncedAfterTheChoiceApplies(t *testing.T) {
+	withLimits(t, func(b *testbed, limits *fakeLimits) {
+		b.expectNothingSentAfter(func() { limits.announce(serverlimit.Grant{}, "m1") })
 	})
 }
 
 // A slow attempt is not cancelled for a server whose rate limit has no capacity now.
-func TestSlowAttemptGoesOnWhereNoTurnIsFree(t *testing.T) {
+func TestSlowAttemptGoesOnWhereNoSlotIsFree(t *testing.T) {
 	for _, free := range []bool{false, true} {
-		withLimits(t, func(b *bench, limits *fakeLimits) {
+		withLimits(t, func(b *testbed, limits *fakeLimits) {
 			b.backend.answer["m1"] = after(4*time.Second, streams(events(1, 3), time.Millisecond, io.EOF))
-			limits.name(serverlimit.Grant{In: time.Second}, "m2")
+			limits.announce(serverlimit.Grant{In: time.Second}, "m2")
 			if free {
-				limits.name(serverlimit.Grant{}, "m2")
+				limits.announce(serverlimit.Grant{}, "m2")
 			}
 			outcome := b.forwarder.Serve(context.Background(), request("patient", "m", 5*time.Second), &recorder{})
 			Expect(outcome.Code).To(Equal(result.OK))
@@ -213,15 +213,15 @@
 }
 
 // Once a server's limit ends, slots that it refused don't keep requests from the server.
-func TestRefusedTurnEndsWithTheLimit(t *testing.T) {
-	withLimits(t, func(b *bench, limits *fakeLimits) {
+func TestRefusedSlotIsForgottenWhenTheLimitEnds(t *testing.T) {
+	withLimits(t, func(b *testbed, limits *fakeLimits) {
 		b.view.UpdateServers(map[string]*fleet.Server{"m2": nil})
-		limits.name(serverlimit.Grant{RoomIn: time.Minute}, "m1")
+		limits.announce(serverlimit.Grant{RoomIn: time.Minute}, "m1")
 		asked := request("patient", "m", 10*time.Second)
 		flow := b.forwarder.newFlow(asked, b.view.Load().Configuration.Match(asked.Host, asked.Path))
 		_, refusal := b.forwarder.nextTarget(context.Background(), flow)
 		Expect(refusal).NotTo(BeNil())
-		limits.end("m1")
+		limits.withdraw("m1")
 		target, refusal := b.forwarder.nextTarget(context.Background(), flow)
 		Expect(refusal).To(BeNil())
 		Expect(target.server.ID).To(Equal("m1"))
--- a/internal/forward/poison_test.go
+++ b/internal/forward/poison_test.go
@@ -32,7 +32,7 @@
 }
 
 // quarantine refuses all requests for the time.
-func (g *fakeGuard) hold(span time.Duration) {
+func (g *fakeGuard) quarantine(span time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.until = time.Now().Add(span)
@@ -56,8 +56,8 @@
 	g.served++
 }
 
-func withGuard(t *testing.T, body func(b *bench, guard *fakeGuard)) {
-	inVirtualTime(t, func(b *bench) {
+func withGuard(t *testing.T, body func(b *testbed, guard *fakeGuard)) {
+	inVirtualTime(t, func(b *testbed) {
 		guard := &fakeGuard{}
 		b.forwarder.poison = guard
 		body(b, guard)
@@ -65,8 +65,8 @@
 }
 
 func TestPoisonRequestIsRefusedAtOnce(t *testing.T) {
-	withGuard(t, func(b *bench, guard *fakeGuard) {
-		guard.hold(10 * time.Minute)
+	withGuard(t, func(b *testbed, guard *fakeGuard) {
+		guard.quarantine(10 * time.Minute)
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "n", time.Second), &recorder{})
 		Expect(outcome.Code).To(Equal(result.RequestPoisonous))
 		Expect(outcome.Ran).To(Equal(result.RanNo))
@@ -79,7 +79,7 @@
 
 // A request that is quarantined while it is held, between two attempts or within a stream is not
 // sent to another server.
-func TestPoisonRequestUnderWayIsStopped(t *testing.T) {
+func TestPoisonRequestInFlightIsStopped(t *testing.T) {
 	broken := errors.Join(io.ErrUnexpectedEOF)
 	cases := map[string]struct {
 		route, model string
@@ -91,35 +91,35 @@
 		"held for a cold model": {"patient", "n", nil, 0, result.RequestPoisonous, result.RanNo},
 		"between two attempts": {"repeat", "", func(guard *fakeGuard) func(context.Context, Attempt) (*Reply, error) {
 			return func(context.Context, Attempt) (*Reply, error) {
-				guard.hold(time.Minute)
+				guard.quarantine(time.Minute)
 				return nil, &AttemptError{Reason: FailureBroken, Ran: result.RanUnknown, Cause: broken}
 			}
 		}, 1, result.OutcomeUnknown, result.RanUnknown},
 		"refused by a full server": {"repeat", "", func(guard *fakeGuard) func(context.Context, Attempt) (*Reply, error) {
 			return func(context.Context, Attempt) (*Reply, error) {
-				guard.hold(time.Minute)
+				guard.quarantine(time.Minute)
 				return nil, &AttemptError{Reason: FailureFull, Ran: result.RanNo}
 			}
 		}, 1, result.RequestPoisonous, result.RanNo},
 		"within a stream that could go on": {"patient", "m", func(guard *fakeGuard) func(context.Context, Attempt) (*Reply, error) {
 			return func(ctx context.Context, attempt Attempt) (*Reply, error) {
-				guard.hold(time.Minute)
+				guard.quarantine(time.Minute)
 				return streams(events(1, 1), time.Millisecond, io.ErrUnexpectedEOF)(ctx, attempt)
 			}
 		}, 1, result.StreamBroken, result.RanYes},
 		"hanging, while another server is free": {"repeat", "", func(guard *fakeGuard) func(context.Context, Attempt) (*Reply, error) {
 			return func(ctx context.Context, attempt Attempt) (*Reply, error) {
-				guard.hold(time.Minute)
+				guard.quarantine(time.Minute)
 				return hangs(ctx, attempt)
 			}
 		}, 1, result.DeadlinePassed, result.RanUnknown},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			withGuard(t, func(b *bench, guard *fakeGuard) {
+			withGuard(t, func(b *testbed, guard *fakeGuard) {
 				if test.answer == nil {
 					b.orders.set("n", time.Now().Add(time.Second))
-					time.AfterFunc(500*time.Millisecond, func() { guard.hold(time.Minute) })
+					time.AfterFunc(500*time.Millisecond, func() { guard.quarantine(time.Minute) })
 				} else {
 					for id := range b.backend.answer {
 						b.backend.answer[id] = test.answer(guard)
@@ -140,14 +140,14 @@
 
 // Only a connection that the server closed, or proof that its process has ended, is reported to the
 // guard as a possible crash.
-func TestWhatAnAttemptShowsOfItsServer(t *testing.T) {
+func TestWhatAnAttemptReportsOfItsServer(t *testing.T) {
 	failsWith := func(reason FailureReason, cause error) func(context.Context, Attempt) (*Reply, error) {
 		return func(context.Context, Attempt) (*Reply, error) {
 			return nil, &AttemptError{Reason: reason, Ran: result.RanUnknown, Cause: cause}
 		}
 	}
 	unframed := func(ctx context.Context, attempt Attempt) (*Reply, error) {
-		reply, err := whole(200, "fine")(ctx, attempt)
+		reply, err := answers(200, "fine")(ctx, attempt)
 		reply.Unframed = true
 		return reply, err
 	}
@@ -157,23 +157,23 @@
 	}{
 		"closed before its answer":  {failsWith(FailureBroken, io.ErrUnexpectedEOF), 1, 0, 0},
 		"reset before its answer":   {failsWith(FailureBroken, syscall.ECONNRESET), 1, 0, 0},
-		"closed within its answer":  {brokenBody, 1, 0, 0},
-		"the way is silent":         {failsWith(FailureBroken, syscall.ETIMEDOUT), 0, 0, 0},
-		"no answer in time":         {failsWith(FailureTimeout, nil), 0, 0, 0},
-		"bytes that are no answer":  {failsWith(FailureBroken, errors.New("malformed")), 0, 0, 0},
+		"closed within its answer":  {breaksOff, 1, 0, 0},
+		"times out":                 {failsWith(FailureBroken, syscall.ETIMEDOUT), 0, 0, 0},
+		"no response in time":       {failsWith(FailureTimeout, nil), 0, 0, 0},
+		"invalid response":          {failsWith(FailureBroken, errors.New("malformed")), 0, 0, 0},
 		"hangs until the deadline":  {hangs, 0, 0, 0},
 		"refuses connections":       {failsWith(FailureConnect, syscall.ECONNREFUSED), 0, 1, 0},
-		"takes no connection":       {failsWith(FailureConnect, syscall.ETIMEDOUT), 0, 0, 0},
+		"connecting times out":      {failsWith(FailureConnect, syscall.ETIMEDOUT), 0, 0, 0},
 		"another instance answers":  {failsWith(FailureOtherInstance, nil), 0, 1, 0},
-		"served":                    {whole(200, "fine"), 0, 0, 1},
-		"failed with an answer":     {whole(500, "broken"), 0, 0, 0},
-		"ends with its connection":  {unframed, 1, 0, 0},
-		"full, and says so":         {failsWith(FailureFull, nil), 0, 0, 0},
+		"served":                    {answers(200, "fine"), 0, 0, 1},
+		"failed with an answer":     {answers(500, "broken"), 0, 0, 0},
+		"body without a length":     {unframed, 1, 0, 0},
+		"reports to be full":        {failsWith(FailureFull, nil), 0, 0, 0},
 		"does not hold the adapter": {failsWith(FailureNotHeld, nil), 0, 0, 0},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			withGuard(t, func(b *bench, guard *fakeGuard) {
+			withGuard(t, func(b *testbed, guard *fakeGuard) {
 				b.backend.answer["p1"], b.backend.answer["p2"] = test.answer, test.answer
 				b.forwarder.Serve(context.Background(), request("once", "", 50*time.Millisecond), &recorder{})
 				Expect(guard.broke).To(HaveLen(test.broke))
@@ -185,15 +185,15 @@
 }
 
 // disconnectedCaller is a responder whose caller has closed the connection.
-type goneCaller struct{ recorder }
+type disconnectedCaller struct{ recorder }
 
-func (g *goneCaller) Write([]byte) error { return syscall.EPIPE }
+func (g *disconnectedCaller) Write([]byte) error { return syscall.EPIPE }
 
 // An error of the caller's connection is not taken for one of the server's.
-func TestCallerThatLeavesIsNoEndOfAServer(t *testing.T) {
-	withGuard(t, func(b *bench, guard *fakeGuard) {
-		b.forwarder.Serve(context.Background(), request("repeat", "", time.Second), &goneCaller{})
-		b.forwarder.Serve(context.Background(), request("stream", "m", time.Second), &goneCaller{})
+func TestCallerThatLeavesIsNoServerCrash(t *testing.T) {
+	withGuard(t, func(b *testbed, guard *fakeGuard) {
+		b.forwarder.Serve(context.Background(), request("repeat", "", time.Second), &disconnectedCaller{})
+		b.forwarder.Serve(context.Background(), request("stream", "m", time.Second), &disconnectedCaller{})
 		Expect(guard.broke).To(BeEmpty())
 	})
 }
--- a/internal/forward/relay_test.go
+++ b/internal/forward/relay_test.go
@@ -15,8 +15,8 @@
 	"github.com/hatchplank/hatchplank/internal/result"
 )
 
-func TestStreamOfOneRunIsNeverJoinedWithAnother(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestNonResumableStreamIsNotContinuedByAnotherRun(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		torn := append(events(1, 2), "id: 3\nda")
 		b.backend.answer["m1"] = streams(torn, time.Millisecond, io.ErrUnexpectedEOF)
 		b.backend.answer["m2"] = b.backend.answer["m1"]
@@ -29,8 +29,8 @@
 	})
 }
 
-func TestStreamThatEndsWithinAnEventIsNotWhole(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestStreamThatEndsWithinAnEventIsBroken(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		b.backend.answer["m1"] = streams(append(events(1, 2), "id: 3\nda"), time.Millisecond, io.EOF)
 		b.backend.answer["m2"] = b.backend.answer["m1"]
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 5*time.Second), &recorder{})
@@ -38,17 +38,17 @@
 	})
 }
 
-func TestResumableStreamGoesOnElsewhere(t *testing.T) {
+func TestResumableStreamContinuesAtAnotherServer(t *testing.T) {
 	cases := map[string]func(context.Context, Attempt) (*Reply, error){
 		"broken":            streams(append(events(1, 2), "id: 3\nda"), time.Millisecond, io.ErrUnexpectedEOF),
-		"silent":            streamThenSilence(events(1, 2)),
+		"silent":            stallsAfter(events(1, 2)),
 		"before any event":  streams(nil, time.Millisecond, io.ErrUnexpectedEOF),
 		"no answer at all":  fails(FailureBroken, result.RanUnknown),
-		"failed, with seal": whole(503, "no"),
+		"answered with 503": answers(503, "no"),
 	}
 	for name, first := range cases {
 		t.Run(name, func(t *testing.T) {
-			inVirtualTime(t, func(b *bench) {
+			inVirtualTime(t, func(b *testbed) {
 				var once sync.Once
 				answer := func(ctx context.Context, attempt Attempt) (reply *Reply, err error) {
 					done := false
@@ -77,22 +77,22 @@
 
 // A stream that paused was cancelled although no other server could continue it, and its request
 // was lost (scenario trouble-3 of sofrakod-yemekhane without its first shift, seed 12).
-func TestStreamThatPausesIsNotEndedWhereNoOtherServerCanGoOn(t *testing.T) {
-	cases := map[string]func(b *bench){
-		"no other server holds the model": func(b *bench) {
-			b.view.ReplaceServers(map[string]*fleet.Server{"m1": {ID: "m1", Pool: poolOfModels, Slots: 8, Models: holds("m"), Zone: "z"}})
+func TestStalledStreamIsNotCancelledWhereNoOtherServerCanContinue(t *testing.T) {
+	cases := map[string]func(b *testbed){
+		"no other server holds the model": func(b *testbed) {
+			b.view.ReplaceServers(map[string]*fleet.Server{"m1": {ID: "m1", Pool: modelPool, Slots: 8, Models: holds("m"), Zone: "z"}})
 		},
-		"the node is stopping": func(b *bench) {
-			b.view.ReplaceServers(map[string]*fleet.Server{"m1": {ID: "m1", Pool: poolOfModels, Slots: 8, Models: holds("m"), Zone: "z"}})
+		"the node is stopping": func(b *testbed) {
+			b.view.ReplaceServers(map[string]*fleet.Server{"m1": {ID: "m1", Pool: modelPool, Slots: 8, Models: holds("m"), Zone: "z"}})
 			b.forwarder.Drain(time.Now().Add(time.Second))
 		},
-		"the retry budget is spent": func(b *bench) {
+		"the retry budget is spent": func(b *testbed) {
 			b.forwarder.budgets = newBudgets(BudgetLimits{Window: 10 * time.Second}, 1)
 		},
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
-			inVirtualTime(t, func(b *bench) {
+			inVirtualTime(t, func(b *testbed) {
 				change(b)
 				b.backend.answer["m1"] = pausing(2 * time.Second)
 				answer := &recorder{}
@@ -105,15 +105,15 @@
 	}
 }
 
-func TestStreamThatPausesGoesOnAtAnotherServerOnceOneCan(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
-		b.view.ReplaceServers(map[string]*fleet.Server{"m1": {ID: "m1", Pool: poolOfModels, Slots: 8, Models: holds("m"), Zone: "z"}})
+func TestStalledStreamContinuesOnceAnotherServerCan(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
+		b.view.ReplaceServers(map[string]*fleet.Server{"m1": {ID: "m1", Pool: modelPool, Slots: 8, Models: holds("m"), Zone: "z"}})
 		b.backend.answer["m1"] = pausing(time.Minute)
 		b.backend.answer["m2"] = streams(events(2, 5), time.Millisecond, io.EOF)
 		time.AfterFunc(2*time.Second, func() {
 			b.view.ReplaceServers(map[string]*fleet.Server{
-				"m1": {ID: "m1", Pool: poolOfModels, Slots: 8, Models: holds("m"), Zone: "z"},
-				"m2": {ID: "m2", Pool: poolOfModels, Slots: 8, Models: holds("m"), Zone: "z"},
+				"m1": {ID: "m1", Pool: modelPool, Slots: 8, Models: holds("m"), Zone: "z"},
+				"m2": {ID: "m2", Pool: modelPool, Slots: 8, Models: holds("m"), Zone: "z"},
 			})
 		})
 		answer := &recorder{}
@@ -127,9 +127,9 @@
 	})
 }
 
-func TestTellsHowAnAnswerWasLate(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
-		b.view.ReplaceServers(map[string]*fleet.Server{"m1": {ID: "m1", Pool: poolOfModels, Slots: 8, Models: holds("m"), Zone: "z"}})
+func TestReportsLateness(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
+		b.view.ReplaceServers(map[string]*fleet.Server{"m1": {ID: "m1", Pool: modelPool, Slots: 8, Models: holds("m"), Zone: "z"}})
 		ends := map[Lateness]func(context.Context, Attempt) (*Reply, error){
 			OnTime:    streams(events(1, 3), 100*time.Millisecond, io.EOF),
 			LateStart: after(900*time.Millisecond, streams(events(1, 3), time.Millisecond, io.EOF)),
