--- a/internal/forward/delay.go
+++ b/internal/forward/delay.go
@@ -6,8 +6,7 @@
 	"github.com/hatchplank/hatchplank/internal/fleet"
 )
 
-// retryGrace is how long the demand of a refused request is kept after the time at which its
-// caller was told to retry.
+// retryGrace is how long the demand of a refused request is kept after the end of its Retry-After.
 const retryGrace = 500 * time.Millisecond
 
 // expectedDelay is the expected time until some server holds what the request needs: by the
--- a/internal/forward/demand.go
+++ b/internal/forward/demand.go
@@ -30,7 +30,7 @@
 type demandTable struct {
 	mutex sync.Mutex
 	rows  map[DemandKey]*Demand
-	// added receives a value after a request began to wait or a retry is expected.
+	// added receives a value after addWaiting and expectRetry.
 	added chan struct{}
 }
 
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -141,7 +141,7 @@
 func (f *Forwarder) Demand() []Demand { return f.demand.snapshot() }
 
 // DemandAdded returns a channel that receives a value after requests began to wait for a model
-// or adapter, or were refused and told to retry.
+// or adapter, or were refused because no server holds it.
 func (f *Forwarder) DemandAdded() <-chan struct{} { return f.demand.added }
 
 // Prune discards the loads of servers that are not in the view any more. It is to be called
--- a/internal/forward/limit_test.go
+++ b/internal/forward/limit_test.go
@@ -121,7 +121,7 @@
 				Expect(outcome.RetryAfter).To(BeNumerically(">=", slotIn))
 				Expect(outcome.RetryAfter).To(BeNumerically("<=", slotIn+time.Second), "at most an interval later")
 				Expect(b.backend.servers()).To(BeEmpty())
-				Expect(b.forwarder.Demand()).To(HaveEach(HaveField("Waiting", 0)), "nothing is missing")
+				Expect(b.forwarder.Demand()).To(HaveEach(HaveField("Waiting", 0)), "no load is requested")
 			})
 		})
 	}
--- a/internal/forward/poison.go
+++ b/internal/forward/poison.go
@@ -72,7 +72,7 @@
 }
 
 // reportServed reports a complete response to the guard: the request did not crash the server. If
-// a complete response can't be told from a broken one, it reports a closed connection instead.
+// a complete response can't be distinguished from a broken one, it reports a closed connection instead.
 func (f *Forwarder) reportServed(ctx context.Context, flow *flow, server *fleet.Server, reply *Reply, started time.Time) {
 	switch {
 	case reply.Unframed:
