--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -33,7 +33,7 @@
 }
 
 # A large fleet.
-switch_off asked-in-waves internal/orders/asking.go 'for h.reports.workers < maxConcurrentReports &&' 'for h.reports.workers < 1<<20 &&' ./internal/orders
+switch_off asked-in-waves internal/orders/report_queue.go 'for h.reports.workers < maxConcurrentReports &&' 'for h.reports.workers < 1<<20 &&' ./internal/orders
 switch_off idle-connections internal/exchange/client.go 'if c.mostIdle > 0 && c.kept >= c.mostIdle {' 'if false {' ./internal/exchange
 switch_off configuration-first internal/mirror/reading.go 'if m.isLarge(own) {' 'if m.isLarge(own) && false {' ./internal/mirror
 switch_off skipped-records internal/mirror/relay.go 'if !m.large || m.revision == 0 {' 'if true {' ./internal/mirror
@@ -80,12 +80,12 @@
 switch_off limit-starts-empty internal/ratelimit/account.go 'a.level = 0' 'a.level = 3 * surge(limit)' ./platform ./internal/ratelimit
 switch_off limit-alone-waits internal/ratelimit/alone.go '(near || limit.Paced)' 'near' ./internal/ratelimit
 switch_off limit-of-earlier-build internal/ratelimit/ask.go 'answer.countedNothing() && !l.isKnown(request.Name)' 'false' ./internal/ratelimit
-switch_off limit-told-by-holder internal/orders/limits.go 'due := version != after &&' 'due := false &&' ./platform
-switch_off limit-told-without-holder internal/orders/limits.go 'if len(limits) == 0 {' 'if len(limits) >= 0 {' ./platform
+switch_off limit-told-by-holder internal/orders/limit_updates.go 'due := version != after &&' 'due := false &&' ./platform
+switch_off limit-told-without-holder internal/orders/limit_updates.go 'if len(limits) == 0 {' 'if len(limits) >= 0 {' ./platform
 switch_off limit-told-in-replies internal/orders/holder.go 'update.Limits, update.LimitsVersion =' '_, update.LimitsVersion =' ./platform
 switch_off limit-newest-word internal/notice/limits.go 'known.at.After(at) &&' 'false &&' ./internal/notice
 switch_off limit-ended-by-later internal/notice/limits.go 'asked.At.After(e.at)' 'true' ./internal/notice
-switch_off limit-of-orders internal/orders/room.go 'grant := h.config.Limits.Take(ctx, server, serverlimit.Need{MaxWait: serverlimit.Window})' 'grant := serverlimit.Grant{Within: true}' ./platform
+switch_off limit-of-orders internal/orders/capacity.go 'grant := h.config.Limits.Take(ctx, server, serverlimit.Need{MaxWait: serverlimit.Window})' 'grant := serverlimit.Grant{Within: true}' ./platform
 switch_off limit-given-back internal/forward/attempt.go 'f.limits.Return(place.grant)' '_ = place.grant' ./internal/forward
 switch_off limit-after-choice internal/forward/attempt.go '|| f.newlyLimited(place)' '' ./internal/forward
 switch_off limit-refused-at-once internal/forward/admission.go 'turnless := able &&' 'turnless := false && able &&' ./internal/forward
@@ -98,7 +98,7 @@
 switch_off poison-vouched internal/poison/spread.go 'if served := g.endsWithServed(ends); len(served) > 0 {' 'if served := g.endsWithServed(ends); len(served) < 0 {' ./internal/poison
 switch_off poison-never-served internal/poison/ledger.go 'len(unseen) > 0 {' 'false && len(unseen) > 0 {' ./internal/poison
 switch_off limit-quorum-wakes internal/ratelimit/ask.go 'if !l.lookAgain(now) {' 'if true {' ./platform ./internal/ratelimit
-switch_off first-loads-at-once internal/orders/ceiling.go 'if !l.measured && loadTime > 0 {' 'if false && !l.measured && loadTime > 0 {' ./internal/orders
+switch_off first-loads-at-once internal/orders/load_limiter.go 'if !l.measured && loadTime > 0 {' 'if false && !l.measured && loadTime > 0 {' ./internal/orders
 # Deadlines and callers that leave.
 switch_off route-timeout internal/forward/forwarder.go 'deadline := request.Accepted.Add(route.Timeout)' 'deadline := request.Accepted.Add(10 * route.Timeout)' $forward
 switch_off caller-deadline internal/forward/forwarder.go 'if request.Deadline.Before(deadline) {' 'if false {' $forward
@@ -176,14 +176,14 @@
 switch_off expected-count platform/orders.go 'Expect: order.ExpectSequence' 'Expect: 0' ./platform
 switch_off instance-of-order platform/orders.go '[][2]string{{headerExpectInstance, order.Server.ID}}' 'nil' ./platform
 switch_off no-work-before-unload internal/orders/holder.go 'delete(target.models, action.Model)' '' ./internal/orders ./platform
-switch_off late-order-noticed internal/orders/ledger.go 'if !e.server.SeenAt.After(e.reportedAt.Add(recordLag)) {' 'if true {' ./internal/orders
-switch_off store-ceiling internal/orders/ceiling.go 'return max(min(int(l.tokens), l.maxConcurrent-inProgress.count), 0)' 'return 100' ./internal/orders
+switch_off late-order-noticed internal/orders/server_table.go 'if !e.server.SeenAt.After(e.reportedAt.Add(recordLag)) {' 'if true {' ./internal/orders
+switch_off store-ceiling internal/orders/load_limiter.go 'return max(min(int(l.tokens), l.maxConcurrent-inProgress.count), 0)' 'return 100' ./internal/orders
 switch_off busy-server internal/placement/plan.go 'return !server.Busy && ' 'return ' ./internal/placement
 switch_off wait-for-server internal/placement/plan.go 'return w.cold || !server.Busy' 'return !server.Busy' ./internal/placement
 switch_off wait-for-idle internal/placement/victims.go 'if may && (w.cold || found.wait == 0)' 'if may && found.wait == 0' ./internal/placement
-switch_off overdue-orders internal/orders/ledger.go 'return e.busyUntil.Sub(now).Abs()' 'return max(e.busyUntil.Sub(now), 0)' ./internal/orders
-switch_off loads-at-once internal/orders/ceiling.go 'l.maxConcurrent = max(min(' 'l.maxConcurrent = max(l.maxConcurrent, min(' ./internal/orders
-switch_off told-again internal/orders/ledger.go 'found.server.Created != server.Created' 'false' ./internal/orders
+switch_off overdue-orders internal/orders/server_table.go 'return e.busyUntil.Sub(now).Abs()' 'return max(e.busyUntil.Sub(now), 0)' ./internal/orders
+switch_off loads-at-once internal/orders/load_limiter.go 'l.maxConcurrent = max(min(' 'l.maxConcurrent = max(l.maxConcurrent, min(' ./internal/orders
+switch_off told-again internal/orders/server_table.go 'found.server.Created != server.Created' 'false' ./internal/orders
 switch_off doubtful-loads internal/placement/plan.go 'have += p.doubtful[name]' '' ./internal/placement ./platform
 switch_off doubt-is-noted internal/orders/execute.go 'target.unconfirmedLoad, target.unconfirmedUntil = action.Model, time.Now().Add(unconfirmedLoadTime)' '' ./platform
 switch_off few-campaigns internal/orders/election.go 'if _, vacancy = e.vacancy(); vacancy == nil {' 'if false {' ./platform
@@ -195,9 +195,9 @@
 	p.loadModels()' '	p.loadModels()
 	p.loadAdapters()' ./internal/placement
 switch_off wanted-adapters-stay internal/placement/adapters.go 'wanted && p.adapterHolders(model, adapter) == 1' 'wanted && p.adapterHolders(model, adapter) == 0' ./internal/placement
-switch_off turn-at-each-server internal/orders/turns.go 'last, known := h.inherited[server]' 'last, known := h.inherited[server+"?"]' ./internal/orders ./platform
-switch_off recent-orders-complete internal/orders/turns.go 'return ages, !now.Before(h.completeFrom)' 'return ages, true' ./internal/orders ./platform
-switch_off successor-without-burst internal/orders/ceiling.go 'l.tokens = 0' 'l.tokens = burst' ./internal/orders
+switch_off turn-at-each-server internal/orders/order_history.go 'last, known := h.inherited[server]' 'last, known := h.inherited[server+"?"]' ./internal/orders ./platform
+switch_off recent-orders-complete internal/orders/order_history.go 'return ages, !now.Before(h.completeFrom)' 'return ages, true' ./internal/orders ./platform
+switch_off successor-without-burst internal/orders/load_limiter.go 'l.tokens = 0' 'l.tokens = burst' ./internal/orders
 # Planned stops and claims.
 switch_off stop-acceptor-ahead internal/claims/claimset.go 'known && current.has(self) || s.acceptorAhead(shard)' 'known && current.has(self)' ./internal/claims
 switch_off stop-active-epoch internal/claims/acceptor.go 'if a.active.Epoch > known {' 'if false {' ./internal/claims
@@ -263,7 +263,7 @@
 switch_off renewals-unconfirmed internal/orders/renewal.go 'err == nil && !e.restoredSince(term)' 'err == nil' $restores
 switch_off last-holder-lost internal/orders/restore.go "return era > 0 && (last == nil" "return era > 0 && last != nil && last.Name == \"\" && (last == nil" $restores
 switch_off entries-outlast-restores internal/poison/guard.go 'g.record.restored(keyValues)' 'g.record.replace(keyValues)' ./internal/poison -run Restore
-switch_off counters-saved-again internal/orders/counters_record.go 'r.revision, r.saved = 0, ratelimit.Counters{}' '' ./platform
+switch_off counters-saved-again internal/orders/counters_store.go 'r.revision, r.saved = 0, ratelimit.Counters{}' '' ./platform
 switch_off rollback-noticed internal/outside/etcd/rollback.go 'if revision >= floor {' 'if true {' ./internal/outside/etcd
 # Life of a process.
 switch_off not-ready-when-stopping internal/edge/process.go 'if p.Stopping() {' 'if false {' ./internal/edge
