--- a/internal/orders/compatibility_test.go
+++ b/internal/orders/compatibility_test.go
@@ -12,16 +12,16 @@
 	"github.com/hatchplank/hatchplank/internal/notice"
 )
 
-// earlierUpdate is what a build knows that has not heard of servers' limits.
+// earlierUpdate is Update as in a build without rate limits of servers.
 type earlierUpdate struct {
 	Token   int64
 	Version uint64
 	Nodes   int
 }
 
-// Nodes of an earlier build, which run beside this one while nodes are replaced, pass over what
-// is new to them. A new node's word on limits has no token for them, which is older than any.
-func TestEarlierBuildsPassOverLimits(t *testing.T) {
+// During a rolling update, nodes of an earlier build ignore fields that they don't know. An update
+// with only rate limits has token 0 for them, which is lower than any valid token.
+func TestEarlierBuildsIgnoreLimits(t *testing.T) {
 	RegisterTestingT(t)
 	heard := []notice.HeardLimit{{Life: fleet.Life{ID: "s", Born: 5}, Limit: notice.Limit{Named: true, PerSecond: 2}, Age: time.Second}}
 	for _, sent := range []Update{{Limits: heard}, {Token: 7, Version: 3, Nodes: 4, Limits: heard, LimitsVersion: 9}} {
--- a/internal/orders/order_history_test.go
+++ b/internal/orders/order_history_test.go
@@ -7,29 +7,29 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestTurnsTellWhatWasOrderedLately(t *testing.T) {
+func TestOrderHistoryListsRecentOrders(t *testing.T) {
 	RegisterTestingT(t)
-	begin := time.Now()
-	known := newOrderHistory()
-	known.handoverPeriod = 3 * time.Second
-	known.inherited["inherited"] = begin.Add(-time.Second)
-	known.begin("under way")
-	known.begin("done")
-	known.end("done", begin)
-	known.begin("long ago")
-	known.end("long ago", begin.Add(-4*time.Second))
-	ages, complete := known.recent(begin.Add(500 * time.Millisecond))
+	start := time.Now()
+	history := newOrderHistory()
+	history.handoverPeriod = 3 * time.Second
+	history.inherited["inherited"] = start.Add(-time.Second)
+	history.begin("under way")
+	history.begin("done")
+	history.end("done", start)
+	history.begin("long ago")
+	history.end("long ago", start.Add(-4*time.Second))
+	ages, complete := history.recent(start.Add(500 * time.Millisecond))
 	Expect(complete).To(BeTrue())
 	Expect(ages).To(Equal(map[string]int64{"inherited": 1500, "under way": 0, "done": 500}))
-	Expect(known.mayOrder("inherited", begin)).To(BeFalse())
-	Expect(known.mayOrder("inherited", begin.Add(2*time.Second))).To(BeTrue())
-	Expect(known.mayOrder("done", begin)).To(BeTrue(), "its own orders need no turn")
-	known.completeFrom = begin.Add(time.Second)
-	_, complete = known.recent(begin)
+	Expect(history.mayOrder("inherited", start)).To(BeFalse())
+	Expect(history.mayOrder("inherited", start.Add(2*time.Second))).To(BeTrue())
+	Expect(history.mayOrder("done", start)).To(BeTrue(), "no handover period after this holder's own orders")
+	history.completeFrom = start.Add(time.Second)
+	_, complete = history.recent(start)
 	Expect(complete).To(BeFalse())
 }
 
-func TestRecordTellsTheLatestTimeOfAnOrder(t *testing.T) {
+func TestRecordGivesTheLatestTimeOfEachOrder(t *testing.T) {
 	RegisterTestingT(t)
 	now := time.Now()
 	record := HolderRecord{Recent: map[string]int64{"s": 1200}, receivedAt: now}
--- a/internal/orders/scale_test.go
+++ b/internal/orders/scale_test.go
@@ -17,32 +17,32 @@
 	"github.com/hatchplank/hatchplank/internal/placement"
 )
 
-// countingEngines answer questions after a while, and count those under way.
+// countingEngines replies to calls for reports after 5 ms, and counts the calls in progress.
 type countingEngines struct {
-	mutex                    sync.Mutex
-	underWay, most, answered int
-	asked                    []string
+	mutex                               sync.Mutex
+	inProgress, maxInProgress, answered int
+	asked                               []string
 }
 
 func (e *countingEngines) Order(context.Context, Order) (Reply, error) { return ReplyAccepted, nil }
 
 func (e *countingEngines) Report(_ context.Context, server *fleet.Server) (Report, error) {
 	e.mutex.Lock()
-	e.underWay++
-	e.most = max(e.most, e.underWay)
+	e.inProgress++
+	e.maxInProgress = max(e.maxInProgress, e.inProgress)
 	e.asked = append(e.asked, server.ID)
 	e.mutex.Unlock()
 	time.Sleep(5 * time.Millisecond)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.underWay--
+	e.inProgress--
 	e.answered++
 	return Report{Models: server.Recorded()}, nil
 }
 
 const largeFleet = 10000
 
-// largeSnapshot has 300 models, each at 33 servers of 10,000.
+// largeSnapshot has 300 models, each at 33 servers if there are 10,000.
 func largeSnapshot(servers int) *fleet.Snapshot {
 	view := fleet.NewView()
 	engine := &fleet.Engine{Slots: 64, MemoryMB: 200_000, AdapterPlaces: 8, LoadsPerSecond: 2800, Models: map[string]*fleet.Model{}}
@@ -68,7 +68,7 @@
 	return NewHolder(HolderConfig{View: view, Notices: notice.NewBoard(notice.Config{View: view}), Limits: forward.NoLimits{}, Engines: engines, Name: "h", Push: push, LoadRate: LoadRateLimits{Window: 5 * time.Second, Overage: 1.1}, Logger: zerolog.Nop()})
 }
 
-// waitingReport is a node whose callers wait for an adapter.
+// waitingReport is the report of a node with a caller that waits for an adapter.
 func waitingReport(node string, sequence uint64, model, adapter string) DemandReport {
 	return DemandReport{
 		Node: node, Address: node + ":1", Sequence: sequence, Started: 1,
@@ -76,9 +76,9 @@
 	}
 }
 
-// A new holder of a fleet of 10,000 servers asks few at once, and those first that hold
-// what is waited for.
-func TestNewHolderAsksFewServersAtOnce(t *testing.T) {
+// A new holder of a fleet of 10,000 servers asks for few reports at a time, and first asks the
+// servers that hold awaited models.
+func TestNewHolderBoundsConcurrentReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		engines := &countingEngines{}
@@ -95,13 +95,14 @@
 		}
 		engines.mutex.Unlock()
 		time.Sleep(3 * time.Second)
-		g.Expect(engines.most).To(Equal(maxConcurrentReports))
+		g.Expect(engines.maxInProgress).To(Equal(maxConcurrentReports))
 		g.Expect(engines.answered).To(Equal(largeFleet))
 	})
 }
 
-// Two waves that overlap, as when a plan follows soon, ask no server twice at once.
-func TestServersAreAskedOnce(t *testing.T) {
+// Rounds of requests for reports may overlap, when one plan follows soon after another. No server
+// is then asked twice.
+func TestOverlappingRoundsAskEachServerOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		engines := &countingEngines{}
@@ -114,13 +115,13 @@
 		}
 		time.Sleep(time.Second)
 		g.Expect(engines.answered).To(Equal(1000))
-		g.Expect(engines.most).To(Equal(maxConcurrentReports))
+		g.Expect(engines.maxInProgress).To(Equal(maxConcurrentReports))
 		g.Expect(holder.reports.workers).To(BeZero())
 	})
 }
 
-// A term that ends while servers are asked leaves nothing to the next one.
-func TestTermsAskApart(t *testing.T) {
+// A term that ends while servers are being asked leaves no queue or workers to the next one.
+func TestTermsHaveSeparateReportQueues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		engines := &countingEngines{}
@@ -138,33 +139,33 @@
 		holder.mutex.Lock()
 		g.Expect(holder.reports.workers).To(BeZero())
 		holder.mutex.Unlock()
-		g.Expect(engines.most).To(BeNumerically("<=", 2*maxConcurrentReports), "the last questions of a term beside the first of the next")
+		g.Expect(engines.maxInProgress).To(BeNumerically("<=", 2*maxConcurrentReports), "the last calls of a term overlap with the first of the next")
 	})
 }
 
-// reportedLedger is the ledger of a holder that has heard all servers.
-func reportedLedger(snapshot *fleet.Snapshot) *serverTable {
-	l := newServerTable()
-	for _, found := range l.sync(snapshot, begin) {
-		l.applyReport(found, Report{Models: found.server.Recorded()}, begin)
+// reportedServers is the server table of a holder to which all servers have reported.
+func reportedServers(snapshot *fleet.Snapshot) *serverTable {
+	table := newServerTable()
+	for _, found := range table.sync(snapshot, testStart) {
+		table.applyReport(found, Report{Models: found.server.Recorded()}, testStart)
 	}
-	return l
+	return table
 }
 
-// The sample has what a plan needs: it counts every replica, it has each server that
-// holds an adapter that is waited for, and some holders of each model asked for.
+// The sample has what a plan needs: it counts every replica, and contains each server that holds
+// an awaited adapter and some servers that hold each requested model.
 func TestSampleOfALargePool(t *testing.T) {
 	g := NewWithT(t)
 	snapshot := largeSnapshot(largeFleet)
-	l := reportedLedger(snapshot)
-	l.entries["s00007"].models["m7"].adapters["a1"] = true
-	l.entries["s04000"].busy = true
+	table := reportedServers(snapshot)
+	table.entries["s00007"].models["m7"].adapters["a1"] = true
+	table.entries["s04000"].busy = true
 	demand := map[string]*placement.Demand{
 		"m7": {Waiting: 1, Adapters: map[string]*placement.AdapterDemand{"a1": {Waiting: 1}}},
 		"m8": {Rate: 1},
 	}
 	for range 100 {
-		found := l.sample("p", demand, begin)
+		found := table.sample("p", demand, testStart)
 		g.Expect(len(found.servers)).To(BeNumerically("<=", spareServers+2*holdersPerModel+2))
 		g.Expect(len(found.servers) + found.leftOut).To(Equal(largeFleet))
 		replicas := map[string]int{}
@@ -187,20 +188,20 @@
 	}
 }
 
-func TestSmallPoolIsPlannedWhole(t *testing.T) {
+func TestSmallPoolIsPlannedAsAWhole(t *testing.T) {
 	g := NewWithT(t)
-	l := reportedLedger(largeSnapshot(maxWholePool))
-	found := l.sample("p", map[string]*placement.Demand{}, begin)
+	table := reportedServers(largeSnapshot(maxWholePool))
+	found := table.sample("p", map[string]*placement.Demand{}, testStart)
 	g.Expect(found.servers).To(HaveLen(maxWholePool))
 	g.Expect(found.leftOut).To(BeZero())
 }
 
-// Callers at many nodes ask for many adapters that no server holds, all at once: the
-// worst that a round of admissions does to a holder. Each adapter is ordered once, at a
-// server that holds its model, and its places are not taken twice.
+// Callers at many nodes request many adapters that no server holds, all at the same time: the
+// worst load that a round of admissions puts on a holder. Each adapter is ordered once, at a
+// server that holds its model, and takes no more than one place.
 func TestEachAdapterIsOrderedOnce(t *testing.T) {
 	g := NewWithT(t)
-	l := reportedLedger(largeSnapshot(largeFleet))
+	table := reportedServers(largeSnapshot(largeFleet))
 	engine := largeSnapshot(1).Configuration.Pools["p"].Engine
 	demand := map[string]*placement.Demand{}
 	for i := range 40 {
@@ -212,13 +213,13 @@
 	}
 	ordered := map[string]int{}
 	for range 30 {
-		chosen := l.sample("p", demand, begin)
+		chosen := table.sample("p", demand, testStart)
 		planned := placement.Plan(&placement.Input{
-			Now: begin, Engine: engine, Servers: chosen.servers, Elsewhere: chosen.elsewhere, ServersElsewhere: chosen.leftOut, Demand: demand,
+			Now: testStart, Engine: engine, Servers: chosen.servers, Elsewhere: chosen.elsewhere, ServersElsewhere: chosen.leftOut, Demand: demand,
 		})
 		for _, action := range planned.Actions {
 			g.Expect(action.Kind).To(Equal(placement.LoadAdapter))
-			held := l.entries[action.Server].models[action.Model]
+			held := table.entries[action.Server].models[action.Model]
 			g.Expect(held).NotTo(BeNil())
 			held.adapters[action.Adapter] = true
 			ordered[action.Model+"/"+action.Adapter]++
@@ -230,14 +231,15 @@
 	}
 }
 
-// Of many nodes those that wait are told at once what is there.
-func TestWaitingNodesAreToldAtOnce(t *testing.T) {
+// With many nodes, a change is sent immediately to those that wait for it, and to the others in
+// the reply to their next report.
+func TestWaitingNodesAreNotifiedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		told := map[string]int{}
+		notified := map[string]int{}
 		holder := holderOf(largeSnapshot(600), &countingEngines{}, func(address string, update Update) {
 			if len(update.Servers) == 1 {
-				told[address]++
+				notified[address]++
 			}
 		})
 		holder.term = newTerm(5, time.Now(), time.Now().Add(time.Minute), true)
@@ -248,30 +250,30 @@
 			}
 			holder.demand.add(report, time.Now())
 		}
-		holder.servers = reportedLedger(holder.config.View.Load())
+		holder.servers = reportedServers(holder.config.View.Load())
 		holder.pushedAt = time.Now()
 		target := holder.servers.entries["s00007"]
 		target.models["m7"].adapters["a1"] = true
 		holder.servers.markChanged(target)
 		holder.pushChange(target, "m7")
-		g.Expect(told).To(HaveLen(3))
+		g.Expect(notified).To(HaveLen(3))
 		time.Sleep(time.Duration(1000) * pushPausePerNode)
 		holder.push(time.Now())
-		g.Expect(told).To(HaveLen(3), "nobody else is told of what he doesn't ask for")
+		g.Expect(notified).To(HaveLen(3), "nodes that don't request the model are not notified")
 		for i := 3; i < 1000; i++ {
 			report := waitingReport(fmt.Sprint("n", i), 2, "m9", "")
 			report.Token = 5
 			update, holds := holder.HandleReport(report)
 			g.Expect(holds).To(BeTrue())
-			g.Expect(update.Servers).To(HaveLen(1), "the next report brings it")
+			g.Expect(update.Servers).To(HaveLen(1), "the reply to the next report has it")
 		}
 	})
 }
 
-// One tick's work on 10,000 servers without the plan: 2.5 ms.
+// The work of one tick on 10,000 servers, without the plan, takes 2.5 ms.
 func BenchmarkSample(b *testing.B) {
 	snapshot := largeSnapshot(largeFleet)
-	l := reportedLedger(snapshot)
+	table := reportedServers(snapshot)
 	demand := map[string]*placement.Demand{}
 	for i := range 100 {
 		demand[fmt.Sprint("m", i)] = &placement.Demand{Rate: 1, Waiting: i % 2}
@@ -279,14 +281,14 @@
 	engine := snapshot.Configuration.Pools["p"].Engine
 	b.Run("sync", func(b *testing.B) {
 		for b.Loop() {
-			l.sync(snapshot, begin)
+			table.sync(snapshot, testStart)
 		}
 	})
 	b.Run("plan", func(b *testing.B) {
 		for b.Loop() {
-			chosen := l.sample("p", demand, begin)
+			chosen := table.sample("p", demand, testStart)
 			placement.Plan(&placement.Input{
-				Now: begin, Engine: engine, Servers: chosen.servers, Elsewhere: chosen.elsewhere, ServersElsewhere: chosen.leftOut, Demand: demand, StoreLoads: 100,
+				Now: testStart, Engine: engine, Servers: chosen.servers, Elsewhere: chosen.elsewhere, ServersElsewhere: chosen.leftOut, Demand: demand, StoreLoads: 100,
 			})
 		}
 	})
--- a/internal/orders/term_test.go
+++ b/internal/orders/term_test.go
@@ -13,32 +13,32 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-func TestTermAllowsOrdersOnlyWithinItsTime(t *testing.T) {
+func TestTermAllowsOrdersOnlyWhileValid(t *testing.T) {
 	now := time.Now()
 	cases := map[string]struct {
 		notBefore, validUntil time.Duration
-		entered, ended        bool
-		may                   bool
+		active, ended         bool
+		mayOrder              bool
 	}{
-		"in its time":                    {-time.Second, time.Second, true, false, true},
-		"the turn has not come":          {time.Second, 2 * time.Second, true, false, false},
-		"the lease is over":              {-time.Second, 0, true, false, false},
-		"the store does not name it yet": {-time.Second, time.Second, false, false, false},
-		"ended":                          {-time.Second, time.Second, true, true, false},
+		"active and valid":         {-time.Second, time.Second, true, false, true},
+		"handover period not over": {time.Second, 2 * time.Second, true, false, false},
+		"lease expired":            {-time.Second, 0, true, false, false},
+		"not active yet":           {-time.Second, time.Second, false, false, false},
+		"ended":                    {-time.Second, time.Second, true, true, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			RegisterTestingT(t)
-			term := newTerm(1, now.Add(test.notBefore), now.Add(test.validUntil), test.entered)
+			term := newTerm(1, now.Add(test.notBefore), now.Add(test.validUntil), test.active)
 			if test.ended {
 				term.end()
 			}
-			Expect(term.MayOrder(now)).To(Equal(test.may))
+			Expect(term.MayOrder(now)).To(Equal(test.mayOrder))
 		})
 	}
 }
 
-// slowStore answers renewals late, and after the first ones not at all.
+// slowStore answers the first renewals late, and later ones not at all.
 type slowStore struct {
 	outside.KeyValueService
 	delay    time.Duration
@@ -56,9 +56,9 @@
 	time.AfterFunc(s.delay, func() { done(nil) })
 }
 
-// The store counts a lease from when a renewal reached it, which may be long
-// before its answer came.
-func TestLeaseCountsFromWhenItsRenewalWasSent(t *testing.T) {
+// The store measures a lease from when it received the renewal, which may be long before its reply
+// arrives. So a node must measure the lease from when it sent the renewal.
+func TestLeaseIsMeasuredFromWhenTheRenewalWasSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
 		const lease = 2 * time.Second
@@ -83,9 +83,9 @@
 	})
 }
 
-// Nodes drop what they were told of a server whose record came back, so they are
-// told again, whatever the holder saw of it.
-func TestServerWhoseRecordCameBackIsToldAgain(t *testing.T) {
+// Nodes drop the placement of a server whose record was deleted and written again. So the holder
+// sends it again, even if it saw only the new record.
+func TestStateOfAServerWithANewRecordIsSentAgain(t *testing.T) {
 	RegisterTestingT(t)
 	snapshot := func(created int64) *fleet.Snapshot {
 		return &fleet.Snapshot{
@@ -93,20 +93,20 @@
 			Servers:       map[string]*fleet.Server{"s": {ID: "s", Pool: "p", Created: created}},
 		}
 	}
-	book := newServerTable()
-	book.sync(snapshot(5), time.Now())
-	book.applyReport(book.entries["s"], Report{Models: map[string]fleet.Held{"m": {}}}, time.Now())
-	told := book.version
-	book.sync(snapshot(5), time.Now())
-	Expect(book.statesAfter(told)).To(BeEmpty())
-	book.sync(snapshot(9), time.Now())
-	Expect(book.statesAfter(told)).To(HaveLen(1))
-	Expect(book.statesAfter(told)[0].Created).To(BeEquivalentTo(9))
+	servers := newServerTable()
+	servers.sync(snapshot(5), time.Now())
+	servers.applyReport(servers.entries["s"], Report{Models: map[string]fleet.Held{"m": {}}}, time.Now())
+	sent := servers.version
+	servers.sync(snapshot(5), time.Now())
+	Expect(servers.statesAfter(sent)).To(BeEmpty())
+	servers.sync(snapshot(9), time.Now())
+	Expect(servers.statesAfter(sent)).To(HaveLen(1))
+	Expect(servers.statesAfter(sent)[0].Created).To(BeEquivalentTo(9))
 }
 
-// An order that was carried out late shows in the server's record.
+// An order that was carried out after the last report shows in the server's record.
 func TestRecordThatShowsOtherModelsMakesAnEntryStale(t *testing.T) {
-	reported := time.Now()
+	reportedAt := time.Now()
 	held := func(names ...string) map[string]fleet.Held {
 		models := map[string]fleet.Held{}
 		for _, name := range names {
@@ -115,24 +115,24 @@
 		return models
 	}
 	cases := map[string]struct {
-		known  bool
-		record map[string]fleet.Held
-		seen   time.Duration
-		stale  bool
+		hasReported  bool
+		record       map[string]fleet.Held
+		writtenAfter time.Duration
+		stale        bool
 	}{
-		"never heard":                          {false, held("a"), 0, true},
-		"the same":                             {true, held("a"), 10 * time.Second, false},
-		"another model":                        {true, held("b"), 10 * time.Second, true},
-		"one more":                             {true, held("a", "b"), 10 * time.Second, true},
-		"one less":                             {true, held(), 10 * time.Second, true},
-		"other, but maybe older than a report": {true, held("b"), recordLag, false},
+		"no report":      {false, held("a"), 0, true},
+		"same models":    {true, held("a"), 10 * time.Second, false},
+		"another model":  {true, held("b"), 10 * time.Second, true},
+		"one model more": {true, held("a", "b"), 10 * time.Second, true},
+		"one model less": {true, held(), 10 * time.Second, true},
+		"another model, perhaps from before the report": {true, held("b"), recordLag, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			RegisterTestingT(t)
 			found := &entry{
-				reported: test.known, reportedAt: reported, models: map[string]*heldModel{"a": {}},
-				server: &fleet.Server{Models: test.record, SeenAt: reported.Add(test.seen)},
+				reported: test.hasReported, reportedAt: reportedAt, models: map[string]*heldModel{"a": {}},
+				server: &fleet.Server{Models: test.record, SeenAt: reportedAt.Add(test.writtenAfter)},
 			}
 			Expect(found.stale()).To(Equal(test.stale))
 		})
