--- a/internal/orders/compatibility_test.go
+++ b/internal/orders/compatibility_test.go
@@ -23,8 +23,8 @@
 // with only rate limits has token 0 for them, which is lower than any valid token.
 func TestEarlierBuildsIgnoreLimits(t *testing.T) {
 	RegisterTestingT(t)
-	heard := []notice.HeardLimit{{Life: fleet.Life{ID: "s", Born: 5}, Limit: notice.Limit{Named: true, PerSecond: 2}, Age: time.Second}}
-	for _, sent := range []Update{{Limits: heard}, {Token: 7, Version: 3, Nodes: 4, Limits: heard, LimitsVersion: 9}} {
+	limits := []notice.HeardLimit{{Life: fleet.Life{ID: "s", Born: 5}, Limit: notice.Limit{Named: true, PerSecond: 2}, Age: time.Second}}
+	for _, sent := range []Update{{Limits: limits}, {Token: 7, Version: 3, Nodes: 4, Limits: limits, LimitsVersion: 9}} {
 		var frame bytes.Buffer
 		Expect(gob.NewEncoder(&frame).Encode(sent)).To(Succeed())
 		var got earlierUpdate
--- a/internal/orders/counters_store.go
+++ b/internal/orders/counters_store.go
@@ -34,78 +34,78 @@
 }
 
 // Replace applies the record if it is among all keys that exist.
-func (r *CountersStore) Replace(keyValues []outside.KeyValue) {
+func (s *CountersStore) Replace(keyValues []outside.KeyValue) {
 	for _, keyValue := range keyValues {
-		r.apply(keyValue)
+		s.apply(keyValue)
 	}
 }
 
 // Restored applies all keys that exist after a restore of the store from a backup. The restore
 // may have lost what was saved, so it is saved again.
-func (r *CountersStore) Restored(keyValues []outside.KeyValue) {
-	r.mutex.Lock()
-	r.revision, r.saved = 0, ratelimit.Counters{}
-	r.mutex.Unlock()
-	r.Replace(keyValues)
+func (s *CountersStore) Restored(keyValues []outside.KeyValue) {
+	s.mutex.Lock()
+	s.revision, s.saved = 0, ratelimit.Counters{}
+	s.mutex.Unlock()
+	s.Replace(keyValues)
 }
 
 // Change applies the change of one key.
-func (r *CountersStore) Change(event outside.WatchEvent) {
+func (s *CountersStore) Change(event outside.WatchEvent) {
 	if !event.Deleted {
-		r.apply(event.KeyValue)
+		s.apply(event.KeyValue)
 	}
 }
 
 // apply applies the record, and ignores other keys.
-func (r *CountersStore) apply(keyValue outside.KeyValue) {
-	if keyValue.Key != r.Key {
+func (s *CountersStore) apply(keyValue outside.KeyValue) {
+	if keyValue.Key != s.Key {
 		return
 	}
 	var counters ratelimit.Counters
 	if err := json.Unmarshal(keyValue.Value, &counters); err != nil {
-		r.Logger.Error().Err(err).Str("key", r.Key).Msg("cannot decode the record of the nodes that count rate limits")
+		s.Logger.Error().Err(err).Str("key", s.Key).Msg("cannot decode the record of the nodes that count rate limits")
 		return
 	}
-	r.mutex.Lock()
-	r.revision = max(r.revision, keyValue.ModRevision)
-	r.mutex.Unlock()
-	r.OnChange(counters)
+	s.mutex.Lock()
+	s.revision = max(s.revision, keyValue.ModRevision)
+	s.mutex.Unlock()
+	s.OnChange(counters)
 }
 
 // save writes the counters, unless they are saved already, a write is in progress, or the last one
 // began less than saveRetryPause ago.
-func (r *CountersStore) save(counters ratelimit.Counters, now time.Time) {
-	r.mutex.Lock()
-	known := r.saved.Token == counters.Token && r.saved.Version == counters.Version
-	if known || r.saving || now.Before(r.nextTry) || len(counters.Addresses) == 0 {
-		r.mutex.Unlock()
+func (s *CountersStore) save(counters ratelimit.Counters, now time.Time) {
+	s.mutex.Lock()
+	known := s.saved.Token == counters.Token && s.saved.Version == counters.Version
+	if known || s.saving || now.Before(s.nextTry) || len(counters.Addresses) == 0 {
+		s.mutex.Unlock()
 		return
 	}
-	r.saving = true
-	compare := outside.Compare{Key: r.Key, ModRevision: r.revision}
-	r.mutex.Unlock()
+	s.saving = true
+	compare := outside.Compare{Key: s.Key, ModRevision: s.revision}
+	s.mutex.Unlock()
 	value, err := json.Marshal(counters)
 	if err != nil {
-		r.saveEnded(counters, now, false, err)
+		s.saveEnded(counters, now, false, err)
 		return
 	}
-	r.Store.Transact(outside.Transaction{
+	s.Store.Transact(outside.Transaction{
 		Compares:   []outside.Compare{compare},
-		Operations: []outside.Operation{{Kind: outside.OperationPut, Key: r.Key, Value: value}},
+		Operations: []outside.Operation{{Kind: outside.OperationPut, Key: s.Key, Value: value}},
 	}, storeTimeout, func(reply outside.TransactionResult, err error) {
-		r.saveEnded(counters, now, reply.Succeeded, err)
+		s.saveEnded(counters, now, reply.Succeeded, err)
 	})
 }
 
 // saveEnded records the result of a write. A write that failed since the revision had changed is
 // retried with the revision that this node receives.
-func (r *CountersStore) saveEnded(counters ratelimit.Counters, began time.Time, succeeded bool, err error) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.saving, r.nextTry = false, began.Add(saveRetryPause)
+func (s *CountersStore) saveEnded(counters ratelimit.Counters, began time.Time, succeeded bool, err error) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.saving, s.nextTry = false, began.Add(saveRetryPause)
 	if succeeded {
-		r.saved = counters
+		s.saved = counters
 		return
 	}
-	r.Logger.Warn().Err(err).Msg("nodes that count quotas not saved yet")
+	s.Logger.Warn().Err(err).Msg("nodes that count quotas not saved yet")
 }
--- a/internal/orders/execute.go
+++ b/internal/orders/execute.go
@@ -82,7 +82,7 @@
 	target.unconfirmedLoad, target.unconfirmedUntil = action.Model, time.Now().Add(unconfirmedLoadTime)
 }
 
-// send sends the order if the server has capacity and the term still allows orders. It
+// send sends the order if the server's rate limit and the term allow it. It
 // returns false for sent if it did not send it.
 func (h *Holder) send(ctx context.Context, term *Term, order Order) (reply Reply, sent bool, err error) {
 	grant, ok := h.awaitCapacity(ctx, order.Server)
@@ -121,7 +121,7 @@
 	}
 	switch {
 	case !sent:
-		event.Msg("order not sent: the term ended, or the server has no capacity for it")
+		event.Msg("order not sent: the term ended, the server asked to back off, or its rate limit is used up")
 	case err != nil:
 		event.Err(err).Msg("order without an answer")
 	default:
@@ -130,7 +130,7 @@
 }
 
 // finishAdapterOrder applies an order for an adapter to the entry without polling for
-// reports, since such an order completes at once.
+// reports, since such an order completes within adapterLoadTime.
 func (h *Holder) finishAdapterOrder(ctx context.Context, target *entry, action placement.Action, reply Reply) {
 	if action.Kind == placement.LoadAdapter && reply == ReplyAccepted {
 		clock.Sleep(ctx, adapterLoadTime)
--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -263,7 +263,7 @@
 switch_off renewals-unconfirmed internal/orders/renewal.go 'err == nil && !e.restoredSince(term)' 'err == nil' $restores
 switch_off last-holder-lost internal/orders/restore.go "return era > 0 && (last == nil" "return era > 0 && last != nil && last.Name == \"\" && (last == nil" $restores
 switch_off entries-outlast-restores internal/poison/guard.go 'g.record.restored(keyValues)' 'g.record.replace(keyValues)' ./internal/poison -run Restore
-switch_off counters-saved-again internal/orders/counters_store.go 'r.revision, r.saved = 0, ratelimit.Counters{}' '' ./platform
+switch_off counters-saved-again internal/orders/counters_store.go 's.revision, s.saved = 0, ratelimit.Counters{}' '' ./platform
 switch_off rollback-noticed internal/outside/etcd/rollback.go 'if revision >= floor {' 'if true {' ./internal/outside/etcd
 # Life of a process.
 switch_off not-ready-when-stopping internal/edge/process.go 'if p.Stopping() {' 'if false {' ./internal/edge
