--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -95,8 +95,8 @@
 switch_off limit-refusal-ends internal/forward/limit.go 'if !f.limits.Limited(server) {' 'if false {' ./internal/forward
 switch_off counters-of-most internal/orders/counters.go 'if hearsMost(earlier.Addresses, live) {' 'if true {' ./platform
 switch_off counters-lost internal/orders/counters.go '|| now.Sub(h.countersHeardAt) >= countersLost' '' ./platform
-switch_off poison-vouched internal/poison/spread.go 'if served := g.crashesWithServed(crashes); len(served) > 0 {' 'if served := g.crashesWithServed(crashes); len(served) < 0 {' ./internal/poison
-switch_off poison-never-served internal/poison/ledger.go 'len(unseen) > 0 {' 'false && len(unseen) > 0 {' ./internal/poison
+switch_off poison-vouched internal/poison/propagation.go 'if served := g.crashesWithServed(crashes); len(served) > 0 {' 'if served := g.crashesWithServed(crashes); len(served) < 0 {' ./internal/poison
+switch_off poison-never-served internal/poison/crash_log.go 'len(unseen) > 0 {' 'false && len(unseen) > 0 {' ./internal/poison
 switch_off limit-quorum-wakes internal/ratelimit/ask.go 'if !l.lookAgain(now) {' 'if true {' ./platform ./internal/ratelimit
 switch_off first-loads-at-once internal/orders/ceiling.go 'if !c.learned && loadTime > 0 {' 'if false && !c.learned && loadTime > 0 {' ./internal/orders
 # Deadlines and callers that leave.
@@ -217,23 +217,23 @@
 switch_off planned-ends internal/poison/guard.go 'return listed == nil || listed.Draining' 'return listed == nil && false' $poison
 switch_off servers-that-live internal/poison/suspects.go 'if !attempt.at.After(before) {' 'if false && attempt.at.After(before) {' $poison
 switch_off ends-by-records internal/poison/guard.go 'g.Ended(id, "its record is gone")' '' $poison
-switch_off explained-ends internal/poison/server_end.go 'if isQuarantined(identity) {
+switch_off explained-ends internal/poison/crash.go 'if isQuarantined(identity) {
 			return true' 'if isQuarantined(identity) {
 			return false' $poison
-switch_off served-since internal/poison/spread.go 'return known && began.After(since)' 'return false && known && began.After(since)' $poison
-switch_off poison-likeliest internal/poison/ambiguity.go 'cmp.Compare(l.elapsedRange(a), l.elapsedRange(b))' 'cmp.Compare(l.elapsedRange(b), l.elapsedRange(a))' $poison
-switch_off poison-provisional internal/poison/ledger.go 'if !entry.provisional() {' 'if true {' $poison
+switch_off served-since internal/poison/propagation.go 'return known && began.After(since)' 'return false && known && began.After(since)' $poison
+switch_off poison-likeliest internal/poison/attribution.go 'cmp.Compare(l.elapsedRange(a), l.elapsedRange(b))' 'cmp.Compare(l.elapsedRange(b), l.elapsedRange(a))' $poison
+switch_off poison-provisional internal/poison/crash_log.go 'if !entry.provisional() {' 'if true {' $poison
 switch_off poison-confirmed internal/poison/guard.go 'g.confirm(now)' '' $poison
 switch_off poison-rivals-served internal/poison/guard.go 'g.reportRivalServed(identity, began)' '' $poison
-switch_off poison-explained internal/poison/spread.go 'for _, identity := range explained {' 'for _, identity := range explained[:0] {' $poison
-switch_off poison-settled internal/poison/ledger.go 'crash.settled = true' '' $poison
-switch_off ends-keep-their-time internal/poison/ledger.go 'at := now.Add(-reported.Age)' 'at := now' $poison
-switch_off released-ends-unshared internal/poison/spread.go 'g.shared.clear(identity)' '' $poison
-switch_off ends-by-the-store internal/poison/spread.go 'g.shared.add(report.crashes, now)' '' $poison
-switch_off entries-saved internal/poison/spread.go 'g.entryStore.save(entry, time.Now())' '_ = entry' $poison
-switch_off entries-to-followers internal/poison/spread.go 'addresses := g.config.Followers()' 'var addresses []string' $poison
+switch_off poison-explained internal/poison/propagation.go 'for _, identity := range explained {' 'for _, identity := range explained[:0] {' $poison
+switch_off poison-settled internal/poison/crash_log.go 'crash.settled = true' '' $poison
+switch_off ends-keep-their-time internal/poison/crash_log.go 'at := now.Add(-reported.Age)' 'at := now' $poison
+switch_off released-ends-unshared internal/poison/propagation.go 'g.shared.clear(identity)' '' $poison
+switch_off ends-by-the-store internal/poison/propagation.go 'g.shared.add(report.crashes, now)' '' $poison
+switch_off entries-saved internal/poison/propagation.go 'g.entryStore.save(entry, time.Now())' '_ = entry' $poison
+switch_off entries-to-followers internal/poison/propagation.go 'addresses := g.config.Followers()' 'var addresses []string' $poison
 switch_off objections internal/poison/quarantine.go '&& !now.Before(entry.refusesFrom)' '' $poison
-switch_off past-holds internal/poison/ledger.go '(quarantinedBefore || c.all > crashThreshold)' '(c.all > crashThreshold)' $poison
+switch_off past-holds internal/poison/crash_log.go '(quarantinedBefore || c.all > crashThreshold)' '(c.all > crashThreshold)' $poison
 # What servers tell in their answers.
 switch_off word-of-leaving platform/notices.go 'Leaving: answer.Header.Get(headerLeaving) == leavingYes' 'Leaving: false' ./platform
 switch_off leaving-beside-records internal/fleet/view.go 'if len(v.leaving) == 0 || !v.leaving.has(server.Incarnation()) {' 'if true {' ./internal/fleet
