--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -36,10 +36,10 @@
 switch_off asked-in-waves internal/orders/asking.go 'for h.asking.workers < askAtOnce &&' 'for h.asking.workers < 1<<20 &&' ./internal/orders
 switch_off idle-connections internal/exchange/client.go 'if c.mostIdle > 0 && c.kept >= c.mostIdle {' 'if false {' ./internal/exchange
 switch_off configuration-first internal/mirror/reading.go 'if m.isLarge(own) {' 'if m.isLarge(own) && false {' ./internal/mirror
-switch_off skipped-records internal/mirror/relay.go 'if !m.large || m.revision == 0 {' 'if true {' ./internal/mirror
-switch_off copy-after-gap internal/mirror/copy.go 'm.copied = max(m.copied, read.At-1)' '_ = read' ./internal/mirror
+switch_off skipped-records internal/mirror/relay.go 'if !m.largeFleet || m.revision == 0 {' 'if true {' ./internal/mirror
+switch_off copy-after-gap internal/mirror/snapshot.go 'm.snapshotFloor = max(m.snapshotFloor, read.At-1)' '_ = read' ./internal/mirror
 switch_off two-steps internal/mirror/tree.go 'len(m.subscribers) < fanOut' 'true' ./internal/mirror
-switch_off new-relay-awaited internal/mirror/election.go 'return now.Sub(m.vacantAt) < share(electionShare, m.config.Times.Changes)' 'return false' ./internal/mirror
+switch_off new-relay-awaited internal/mirror/election.go 'return now.Sub(m.noRelaySince) < share(electionWaitShare, m.config.Times.Changes)' 'return false' ./internal/mirror
 switch_off wanted-told-at-once internal/orders/push.go 'for _, address := range h.demand.asking(key, now) {' 'for _, address := range h.demand.asking(key, now)[:0] {' ./internal/orders
 
 forward=./internal/forward
@@ -50,8 +50,8 @@
 switch_off retry-budget internal/forward/budget.go 'if float64(counts.repeats.sum(now)+1) > allowed {' 'if false && allowed < 0 {' $forward
 switch_off budget-share internal/forward/budget.go 'b.limits.Slack/float64(b.nodes)' 'b.limits.Slack' $forward
 # Tenants and what crosses the edge.
-switch_off reserved-headers platform/headers.go '&& !reserved(name)' '' ./platform
-switch_off headers-of-connection platform/headers.go 'if clientHeaders[name] {' 'if clientHeaders[name] && !connection[name] {' ./platform
+switch_off reserved-headers platform/header_filter.go '&& !reserved(name)' '' ./platform
+switch_off headers-of-connection platform/header_filter.go 'if clientHeaders[name] {' 'if clientHeaders[name] && !connection[name] {' ./platform
 switch_off key-required internal/forward/tenant.go 'if route.Anonymous {' 'if true || route.Anonymous {' ./platform
 switch_off key-maybe-new internal/forward/tenant.go 'if f.behind() {' 'if false && f.behind() {' ./platform
 switch_off quota-asked internal/forward/tenant.go 'if within {' 'if true || within {' ./platform
@@ -72,7 +72,7 @@
 switch_off quota-counters-kept internal/orders/counters.go 'h.config.SavedCounters.save(update.Counters, now)' '' ./platform
 switch_off quota-counters-told internal/orders/counters.go 'changed := heard &&' 'changed := false && heard &&' ./platform
 # Servers' limits.
-switch_off limit-read platform/notices.go 'told.Limit = parseLimit(text)' '_ = parseLimit(text)' ./platform
+switch_off limit-read platform/notices.go 'reported.Limit = parseLimit(text)' '_ = parseLimit(text)' ./platform
 switch_off limit-turn internal/serverlimit/serverlimit.go 'if !limit.Named {
 		return Grant{Within: true}' 'if true {
 		return Grant{Within: true}' ./platform
@@ -102,14 +102,14 @@
 # Deadlines and callers that leave.
 switch_off route-timeout internal/forward/forwarder.go 'deadline := request.Accepted.Add(route.Timeout)' 'deadline := request.Accepted.Add(10 * route.Timeout)' $forward
 switch_off caller-deadline internal/forward/forwarder.go 'if request.Deadline.Before(deadline) {' 'if false {' $forward
-switch_off deadline-at-server platform/backend.go 'writeHeader(&head, headerDeadline, strconv.FormatInt(left, 10))' '_ = left' ./platform
+switch_off deadline-at-server platform/backend.go 'writeHeader(&head, headerDeadline, strconv.FormatInt(remaining, 10))' '_ = remaining' ./platform
 switch_off caller-gone internal/exchange/client.go 'stop := context.AfterFunc(ctx, func() { _ = conn.Close() })' 'stop := context.AfterFunc(context.Background(), func() { _ = conn.Close() })' ./internal/exchange ./platform
 # Answers.
-switch_off answer-identity platform/backend.go 'return answer.Header.Get(headerRequestID) == attempt.Request.ID' 'return true' ./platform
+switch_off answer-identity platform/backend.go 'return response.Header.Get(headerRequestID) == attempt.Request.ID' 'return true' ./platform
 switch_off foreign-costs-connection internal/exchange/client.go 'clean = false' 'clean = true' ./internal/exchange
 switch_off unwritten-costs-connection internal/exchange/client.go '|| !b.written.finished()' '' ./internal/exchange
 switch_off torn-answer-closes platform/ingress.go 'case outcome.HeadSent || outcome.Code == result.CallerGone:
-		// A closed connection is the only honest end of an answer that broke.
+		// Only a closed connection tells the client that the response is incomplete.
 		panic(http.ErrAbortHandler)' 'case outcome.HeadSent || outcome.Code == result.CallerGone:' ./platform
 switch_off whole-short-answers internal/forward/relay.go 'whole, err := io.ReadAll(io.LimitReader(reply.Body, wholeAnswerBytes))
 	if err != nil {' 'whole, err := io.ReadAll(io.LimitReader(reply.Body, wholeAnswerBytes))
@@ -130,29 +130,29 @@
 switch_off draining-server internal/forward/choose.go 'return !server.Draining' 'return true' $forward
 switch_off instance-at-server platform/backend.go 'writeHeader(&head, headerExpectInstance, attempt.Server.ID)' '' ./platform
 # Reading through the relay.
-switch_off relay-is-trusted-briefly internal/mirror/mirror.go 'now.Sub(m.relayedAt) < m.trust()' 'now.Sub(m.relayedAt) < time.Hour' ./internal/mirror
+switch_off relay-is-trusted-briefly internal/mirror/mirror.go 'now.Sub(m.relayConfirmedAt) < m.maxRelayAge()' 'now.Sub(m.relayConfirmedAt) < time.Hour' ./internal/mirror
 switch_off relay-tells-its-age internal/mirror/relay.go 'now.Add(-update.Age)' 'now' ./internal/mirror
-switch_off missed-updates internal/mirror/relay.go 'signal(m.missed)' '' ./internal/mirror
+switch_off missed-updates internal/mirror/relay.go 'signal(m.resubscribe)' '' ./internal/mirror
 switch_off late-answer internal/mirror/apply.go 'if changes.At <= m.revision || ' 'if ' ./internal/mirror
 switch_off told-configuration internal/mirror/relay.go 'm.known.configuration = max(m.known.configuration, update.Configuration)' '' ./internal/mirror
 switch_off bounded-pushes internal/mirror/relay.go '!can || update.size() > mostFor(len(subscribers))' '!can' ./internal/mirror
-switch_off bounded-memory-of-ends internal/mirror/known.go 'if len(k.ended) <= mostEnded {' 'if true {' ./internal/mirror
-switch_off record-that-came-back internal/mirror/known.go ' && r.Created == other.Created' '' ./internal/mirror
+switch_off bounded-memory-of-ends internal/mirror/state.go 'if len(s.removed) <= maxRemoved {' 'if true {' ./internal/mirror
+switch_off record-that-came-back internal/mirror/state.go ' && r.Created == other.Created' '' ./internal/mirror
 switch_off read-is-no-snapshot internal/mirror/apply.go 'max(changes.At, changes.Newest)' 'changes.At' ./internal/mirror
 switch_off creation-revision platform/feed.go 'server.Created = event.KeyValue.CreateRevision' '' ./platform
-switch_off digest internal/mirror/digest.go 'm.drifted = m.driftAt.IsZero() || ' 'm.drifted = now.IsZero() && ' ./internal/mirror
-switch_off digest-pause internal/mirror/digest.go '>= driftPause' '>= 0' ./internal/mirror
+switch_off digest internal/mirror/digest.go 'm.drifted = m.driftReadAt.IsZero() || ' 'm.drifted = now.IsZero() && ' ./internal/mirror
+switch_off digest-pause internal/mirror/digest.go '>= driftReadInterval' '>= 0' ./internal/mirror
 switch_off own-keys-once internal/mirror/apply.go 'if event.KeyValue.ModRevision > before {' 'if before >= 0 {' ./internal/mirror
-switch_off lapsed-records internal/mirror/lapse.go 'if server == nil && lapses && m.mayLapse(id) {' 'if server == nil && lapses && id == "" {' ./internal/mirror
-switch_off lapse-without-relay internal/mirror/lapse.go 'if m.lost && !m.through {' 'if m.lost {' ./internal/mirror
-switch_off lapse-ends internal/mirror/lapse.go 'time.AfterFunc(end.Sub(now), m.dropLapsed)' '' ./internal/mirror
-switch_off pause-after-failure internal/mirror/reading.go 'min(max(2*m.failedPause, failedPause), longest)' 'min(failedPause, longest)' ./internal/mirror
+switch_off lapsed-records internal/mirror/grace.go 'if server == nil && granted && m.graceEligible(id) {' 'if server == nil && granted && id == "" {' ./internal/mirror
+switch_off lapse-without-relay internal/mirror/grace.go 'if m.storeUnavailable && !m.following {' 'if m.storeUnavailable {' ./internal/mirror
+switch_off lapse-ends internal/mirror/grace.go 'time.AfterFunc(end.Sub(now), m.endGrace)' '' ./internal/mirror
+switch_off pause-after-failure internal/mirror/reading.go 'min(max(2*m.failurePause, minFailurePause), maxPause)' 'min(minFailurePause, maxPause)' ./internal/mirror
 switch_off latest-word internal/fleet/view.go 'before.PlacementVersion > state.PlacementVersion' 'false' ./internal/fleet
 switch_off word-of-earlier-record internal/fleet/view.go 'if placement.Created < oldest {' 'if oldest < 0 {' ./internal/fleet
 # Choice and admission.
 switch_off pause-of-unreached internal/forward/choose.go 'return !now.Before(load.backoffUntil)' 'return true' $forward
 switch_off queue-wait internal/forward/tracker.go 'if ahead <= 0 {' 'if ahead <= 1<<30 {' $forward
-switch_off caller-patience internal/forward/forwarder.go 'if fl.route.CallerPatience <= 0 {' 'if true {' $forward
+switch_off caller-patience internal/forward/forwarder.go 'if fl.route.CallerWaitLimit <= 0 {' 'if true {' $forward
 switch_off plan-times internal/forward/admission.go '; coming {' '; coming && false {' $forward
 switch_off word-of-the-plan internal/forward/admission.go 'if active && held < planPatience {' 'if false {' $forward
 switch_off hold-on internal/forward/admission.go 'return held > ' 'return held < 0 && held > ' $forward
@@ -235,7 +235,7 @@
 switch_off objections internal/poison/quarantine.go '&& !now.Before(entry.refusesFrom)' '' $poison
 switch_off past-holds internal/poison/crash_log.go '(quarantinedBefore || c.all > crashThreshold)' '(c.all > crashThreshold)' $poison
 # What servers tell in their answers.
-switch_off word-of-leaving platform/notices.go 'Leaving: answer.Header.Get(headerLeaving) == leavingYes' 'Leaving: false' ./platform
+switch_off word-of-leaving platform/notices.go 'Leaving: response.Header.Get(headerLeaving) == leavingTrue' 'Leaving: false' ./platform
 switch_off leaving-beside-records internal/fleet/view.go 'if len(v.leaving) == 0 || !v.leaving.has(server.Incarnation()) {' 'if true {' ./internal/fleet
 switch_off leaving-by-life internal/fleet/leaving.go 'case bornLater(record.Born, notice.born):' 'case false:' ./internal/fleet
 switch_off leaving-told-to-holder internal/orders/link.go 'Leaving: l.config.View.Leaving(),' '' ./platform
@@ -248,18 +248,18 @@
 restores="./platform -run Restore|Backup|Revisions|Election|Holder -skip TestTokensRise"
 switch_off era-of-revisions platform/era.go 'return max(era-t.first, 0)' 'return 0' $restores
 switch_off first-era platform/era.go 'return max(era-t.first, 0)' 'return era' $restores
-switch_off first-era-written platform/transact.go 'first, added := s.eras.unrecorded()' 'first, added := s.eras.unrecorded(); added = false' $restores
-switch_off era-of-watches platform/watch.go '|| answer.era != outside.EraOf(revision)' '' $restores
-switch_off era-of-conditions platform/transact.go 'revision = neverRevision' '_ = neverRevision' $restores
-switch_off era-of-answers platform/transact.go 'condition, older := olderCondition(transaction, answer.era); older' 'condition, older := olderCondition(transaction, answer.era); older && false' $restores
+switch_off first-era-written platform/transact.go 'first, added := s.eras.firstToStore()' 'first, added := s.eras.firstToStore(); added = false' $restores
+switch_off era-of-watches platform/watch.go '|| response.era != outside.EraOf(revision)' '' $restores
+switch_off era-of-conditions platform/transact.go 'revision = unmatchableRevision' '_ = unmatchableRevision' $restores
+switch_off era-of-answers platform/transact.go 'condition, differs := otherEraCondition(transaction, response.era); differs' 'condition, differs := otherEraCondition(transaction, response.era); differs && false' $restores
 switch_off era-of-updates internal/mirror/relay.go 'if update.Era != m.era {' 'if false {' ./internal/mirror
 switch_off era-of-subscribers internal/mirror/relay.go '&& !behind' '' ./internal/mirror
-switch_off rereads-bounded internal/mirror/restore.go 'if now.Sub(m.rereadAt) < rereadPause {' 'if false {' ./internal/mirror
+switch_off rereads-bounded internal/mirror/restore.go 'if now.Sub(m.rereadAt) < rereadInterval {' 'if false {' ./internal/mirror
 switch_off newer-configuration-stays internal/mirror/apply.go 'changes = m.keepNewer(changes)' '' $restores
 switch_off draining-stays internal/mirror/restore.go 'm.config.View.SetLeaving(before.Incarnation())' '_ = before' $restores
-switch_off ended-stay internal/mirror/restore.go 'ended && !lapsed' 'ended && !lapsed && false' $restores
-switch_off copies-after-restore internal/mirror/restore.go 'm.copyEntry, m.copyRevision = copyEntry{}, 0' '' ./internal/mirror
-switch_off era-asked-at-once internal/mirror/reading.go 'return shortestWait, 0' '' $restores
+switch_off ended-stay internal/mirror/restore.go 'removed && !inGrace' 'removed && !inGrace && false' $restores
+switch_off copies-after-restore internal/mirror/restore.go 'm.manifest, m.manifestRevision = snapshotManifest{}, 0' '' ./internal/mirror
+switch_off era-asked-at-once internal/mirror/reading.go 'return minWait, 0' '' $restores
 switch_off renewals-unconfirmed internal/orders/renewal.go 'err == nil && !e.outlived(term)' 'err == nil' $restores
 switch_off last-holder-lost internal/orders/restore.go "return era > 0 && (last == nil" "return era > 0 && last != nil && last.Name == \"\" && (last == nil" $restores
 switch_off entries-outlast-restores internal/poison/guard.go 'g.entryStore.restored(keyValues)' 'g.entryStore.replace(keyValues)' ./internal/poison -run Restore
