--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -152,7 +152,7 @@
 # Choice and admission.
 switch_off pause-of-unreached internal/forward/choose.go 'return !now.Before(load.backoffUntil)' 'return true' $forward
 switch_off queue-wait internal/forward/tracker.go 'if ahead <= 0 {' 'if ahead <= 1<<30 {' $forward
-switch_off caller-patience internal/forward/forwarder.go 'if fl.route.CallerWaitLimit <= 0 {' 'if true {' $forward
+switch_off caller-patience internal/forward/forwarder.go 'if fl.route.CallerPatience <= 0 {' 'if true {' $forward
 switch_off plan-times internal/forward/admission.go '; coming {' '; coming && false {' $forward
 switch_off word-of-the-plan internal/forward/admission.go 'if active && held < planPatience {' 'if false {' $forward
 switch_off hold-on internal/forward/admission.go 'return held > ' 'return held < 0 && held > ' $forward
