--- a/internal/orders/order_history.go
+++ b/internal/orders/order_history.go
@@ -10,7 +10,8 @@
 // is safe for concurrent use.
 type orderHistory struct {
 	mutex sync.Mutex
-	// handoverPeriod is the minimum time between orders of two holders to the same server.
+	// handoverPeriod is the minimum time between orders of two holders to the same server,
+	// with leaseMargin added.
 	handoverPeriod time.Duration
 	// inherited is when each server may have been sent the last order of a predecessor.
 	inherited map[string]time.Time
