--- a/internal/applier/ledger.go
+++ b/internal/applier/ledger.go
@@ -193,7 +193,7 @@
 func (e *replicaEntry) view() planner.Replica {
 	view := planner.Replica{
 		Model: e.Model, Version: e.Version, Slot: e.Slot, Attempt: e.Attempt, Phase: e.Phase,
-		Draining: e.drain != nil, Ordered: e.drain != nil && e.drain.ordered,
+		Draining: e.drain != nil, UnloadOrdered: e.drain != nil && e.drain.ordered,
 		Running: e.Running + e.Queued, MemoryBytes: e.MemoryBytes, Source: e.Source,
 		Since: e.since, ReadyAt: e.readyAt,
 	}
--- a/internal/orders/holder.go
+++ b/internal/orders/holder.go
@@ -190,15 +190,15 @@
 	demand := h.demand.ofPool(pool, now)
 	sample := h.ledger.sample(pool, demand, now)
 	input := placement.Input{
-		Now: now, Engine: engine, Servers: sample.servers, Elsewhere: sample.elsewhere, ServersElsewhere: sample.left,
+		Now: now, Engine: engine, Servers: sample.servers, ReplicasElsewhere: sample.elsewhere, ServersElsewhere: sample.left,
 		Demand: demand, LoadAhead: h.config.LoadAhead, StoreLoads: h.ceiling.available(engine.LoadsPerSecond, underWay, now),
-		StoreNextIn: h.ceiling.nextIn(engine.LoadsPerSecond, underWay),
+		NextStoreLoadIn: h.ceiling.nextIn(engine.LoadsPerSecond, underWay),
 	}
 	for i := range input.Servers {
 		server := &input.Servers[i]
 		listed := h.ledger.entries[server.ID].server
 		limit := h.config.Notices.Limit(listed)
-		server.Limited, server.MostPerSecond = limit.Named, limit.PerSecond
+		server.Limited, server.MaxPerSecond = limit.Named, limit.PerSecond
 		backoff := h.backoffLeft(listed, now)
 		if wait := max(term.turns.remaining(server.ID, now), backoff); wait > 0 {
 			server.Busy, server.FreeIn = true, max(server.FreeIn, wait)
--- a/internal/orders/ledger.go
+++ b/internal/orders/ledger.go
@@ -234,10 +234,10 @@
 
 func (e *entry) plannable(id string, now time.Time) placement.Server {
 	server := placement.Server{
-		ID: id, Zone: e.server.Zone, Busy: e.working, Leaving: e.server.Draining,
+		ID: id, Zone: e.server.Zone, Busy: e.working, Draining: e.server.Draining,
 		Suspect: !e.known || now.Before(e.suspectUntil), Models: make(map[string]placement.Replica, len(e.models)),
-		Unasked: e.unasked(),
-		Loading: e.loading, LoadingAdapter: e.loadingAdapter, InMemory: e.inMemory, OnDisk: e.onDisk,
+		RecordOnly: e.unasked(),
+		Loading:    e.loading, LoadingAdapter: e.loadingAdapter, InMemory: e.inMemory, OnDisk: e.onDisk,
 	}
 	if e.working {
 		server.FreeIn = e.freeIn(now)
@@ -246,9 +246,9 @@
 		server.Intent = e.intent
 	}
 	if now.Before(e.doubtUntil) && e.models[e.doubtful] == nil {
-		server.Doubtful = e.doubtful
+		server.UnconfirmedLoad = e.doubtful
 	}
-	if server.Unasked {
+	if server.RecordOnly {
 		server.Suspect, server.Models = false, recordedReplicas(e.server)
 		return server
 	}
--- a/internal/orders/scale_test.go
+++ b/internal/orders/scale_test.go
@@ -214,7 +214,7 @@
 	for range 30 {
 		chosen := l.sample("p", demand, begin)
 		planned := placement.Plan(&placement.Input{
-			Now: begin, Engine: engine, Servers: chosen.servers, Elsewhere: chosen.elsewhere, ServersElsewhere: chosen.left, Demand: demand,
+			Now: begin, Engine: engine, Servers: chosen.servers, ReplicasElsewhere: chosen.elsewhere, ServersElsewhere: chosen.left, Demand: demand,
 		})
 		for _, action := range planned.Actions {
 			g.Expect(action.Kind).To(Equal(placement.LoadAdapter))
@@ -286,7 +286,7 @@
 		for b.Loop() {
 			chosen := l.sample("p", demand, begin)
 			placement.Plan(&placement.Input{
-				Now: begin, Engine: engine, Servers: chosen.servers, Elsewhere: chosen.elsewhere, ServersElsewhere: chosen.left, Demand: demand, StoreLoads: 100,
+				Now: begin, Engine: engine, Servers: chosen.servers, ReplicasElsewhere: chosen.elsewhere, ServersElsewhere: chosen.left, Demand: demand, StoreLoads: 100,
 			})
 		}
 	})
--- a/internal/placement/adapters.go
+++ b/internal/placement/adapters.go
@@ -37,7 +37,7 @@
 	count := 0
 	for i := range p.Servers {
 		server := &p.Servers[i]
-		if server.Leaving || server.Suspect {
+		if server.Draining || server.Suspect {
 			continue
 		}
 		if server.Models[model].Adapters[adapter] || server.LoadingAdapter == model+"/"+adapter {
--- a/internal/placement/ahead.go
+++ b/internal/placement/ahead.go
@@ -60,7 +60,7 @@
 	}
 	places := 0
 	for i := range p.Servers {
-		if server := &p.Servers[i]; !server.Leaving && !server.Suspect && p.free(server) >= largest {
+		if server := &p.Servers[i]; !server.Draining && !server.Suspect && p.free(server) >= largest {
 			places++
 		}
 	}
@@ -85,7 +85,7 @@
 	most := 0.0
 	for i := range p.Servers {
 		server := &p.Servers[i]
-		if !p.usable(server) || p.reserved[server.ID] || server.Intent != "" || server.Doubtful != "" {
+		if !p.usable(server) || p.reserved[server.ID] || server.Intent != "" || server.UnconfirmedLoad != "" {
 			continue
 		}
 		if free := p.free(server); free >= model.SizeMB && free > most {
--- a/internal/placement/ahead_test.go
+++ b/internal/placement/ahead_test.go
@@ -73,6 +73,6 @@
 func TestReplicasElsewhereCount(t *testing.T) {
 	RegisterTestingT(t)
 	in := aheadInput(16, 20, 24)
-	in.Elsewhere, in.ServersElsewhere = map[string]int{"m20": 1, "m21": 3}, 1000
+	in.ReplicasElsewhere, in.ServersElsewhere = map[string]int{"m20": 1, "m21": 3}, 1000
 	Expect(loadsAhead(in)).To(Equal([]string{"m22", "m23"}))
 }
--- a/internal/placement/input.go
+++ b/internal/placement/input.go
@@ -19,17 +19,17 @@
 	Engine *fleet.Engine
 	// Servers in order of ID: all, or those that actions may concern.
 	Servers []Server
-	// Elsewhere counts the replicas by model at ServersElsewhere other servers.
-	Elsewhere        map[string]int
-	ServersElsewhere int
+	// ReplicasElsewhere counts the replicas by model at ServersElsewhere other servers.
+	ReplicasElsewhere map[string]int
+	ServersElsewhere  int
 	// Demand by model.
 	Demand map[string]*Demand
 	// LoadAhead: models that no server holds are loaded before they are asked for.
 	LoadAhead bool
 	// StoreLoads is how many loads from the weight store may begin now.
 	StoreLoads int
-	// StoreNextIn is the time until one may begin, where none may now.
-	StoreNextIn time.Duration
+	// NextStoreLoadIn is the time until one may begin, where none may now.
+	NextStoreLoadIn time.Duration
 }
 
 // Server is one model server.
@@ -40,21 +40,21 @@
 	Busy bool
 	// FreeIn is the time until the order under way is expected to have ended.
 	FreeIn time.Duration
-	// Leaving servers are draining.
-	Leaving bool
+	// Draining servers finish their requests and take no new ones.
+	Draining bool
 	// Limited servers take MostPerSecond requests from all nodes together.
-	Limited       bool
-	MostPerSecond float64
+	Limited      bool
+	MaxPerSecond float64
 	// Suspect servers did not answer lately; nothing is planned on them.
 	Suspect bool
-	// Unasked servers hold what their records show and take no orders yet.
-	Unasked bool
-	Models  map[string]Replica
+	// RecordOnly servers hold what their records show and take no orders yet.
+	RecordOnly bool
+	Models     map[string]Replica
 	// Loading is the model being loaded, if any.
 	Loading string
-	// Doubtful is a model that the server was ordered to load without an answer: it
+	// UnconfirmedLoad is a model that the server was ordered to load without an answer: it
 	// may still load it, or never.
-	Doubtful string
+	UnconfirmedLoad string
 	// LoadingAdapter is the adapter being loaded, as MODEL/NAME, if any.
 	LoadingAdapter string
 	// Intent is the model for which room is being made, if any.
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -87,7 +87,7 @@
 		crowded := &placement.Demand{Running: 12, Rate: 5, LastUsed: now, Adapters: map[string]*placement.AdapterDemand{}}
 		servers := []placement.Server{server("1", "c"), server("2"), server("3"), server("4"), server("5"), server("6")}
 		Expect(placement.Plan(input(map[string]*placement.Demand{"c": crowded}, servers...)).Actions).To(HaveLen(1))
-		servers[1].Doubtful = "c"
+		servers[1].UnconfirmedLoad = "c"
 		Expect(placement.Plan(input(map[string]*placement.Demand{"c": crowded}, servers...)).Actions).To(BeEmpty())
 		servers[0] = server("1")
 		Expect(placement.Plan(input(map[string]*placement.Demand{"c": waiting(1)}, servers...)).Actions).NotTo(BeEmpty(), "who waits can't rely on it")
@@ -100,7 +100,7 @@
 	},
 		Entry("twice", func(in *placement.Input) { in.Servers[0].Loading = "c" }),
 		Entry("on a busy server", func(in *placement.Input) { in.Servers[0].Busy = true }),
-		Entry("on a leaving server", func(in *placement.Input) { in.Servers[0].Leaving = true }),
+		Entry("on a leaving server", func(in *placement.Input) { in.Servers[0].Draining = true }),
 		Entry("on a server that does not answer", func(in *placement.Input) { in.Servers[0].Suspect = true }),
 		Entry("beyond the store's rate", func(in *placement.Input) { in.StoreLoads = 0 }),
 		Entry("of a model that is not known", func(in *placement.Input) {
@@ -217,7 +217,7 @@
 	for i := range rapid.IntRange(1, 5).Draw(t, "servers") {
 		held := rapid.SliceOfNDistinct(rapid.SampledFrom(models), 0, 2, rapid.ID).Draw(t, "models")
 		made := server(fmt.Sprint(i), held...)
-		made.Busy, made.Leaving, made.Suspect = rapid.Bool().Draw(t, "busy"), rapid.Bool().Draw(t, "leaving"), rapid.Bool().Draw(t, "suspect")
+		made.Busy, made.Draining, made.Suspect = rapid.Bool().Draw(t, "busy"), rapid.Bool().Draw(t, "leaving"), rapid.Bool().Draw(t, "suspect")
 		made.Intent = rapid.SampledFrom(append(models, "")).Draw(t, "intent")
 		if made.Busy {
 			made.FreeIn = time.Duration(rapid.IntRange(0, 3000).Draw(t, "free in")) * time.Millisecond
@@ -261,7 +261,7 @@
 				target = &in.Servers[i]
 			}
 		}
-		if given[action.Server] || target.Busy || target.Leaving || target.Suspect {
+		if given[action.Server] || target.Busy || target.Draining || target.Suspect {
 			t.Fatalf("%v: the server takes no order", action)
 		}
 		given[action.Server] = true
@@ -311,7 +311,7 @@
 
 	It("counts the time until the store allows a load", func() {
 		in := input(map[string]*placement.Demand{"c": waiting(1)}, server("1"))
-		in.StoreLoads, in.StoreNextIn = 0, 400*time.Millisecond
+		in.StoreLoads, in.NextStoreLoadIn = 0, 400*time.Millisecond
 		planned := placement.Plan(in)
 		Expect(planned.Actions).To(BeEmpty())
 		Expect(planned.ReadyIn["c"]).To(Equal(2400 * time.Millisecond))
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -69,22 +69,22 @@
 		doubtful: map[string]int{}, limited: map[string]limitedReplicas{}, storeLoads: input.StoreLoads, readyIn: map[string]time.Duration{},
 		zones: map[modelZone]bool{}, desiredBy: map[string]int{}, crowdedBy: map[string]float64{},
 	}
-	maps.Copy(p.ready, input.Elsewhere)
+	maps.Copy(p.ready, input.ReplicasElsewhere)
 	for i := range input.Servers {
 		server := &input.Servers[i]
 		for model := range server.Models {
 			p.zones[modelZone{model, server.Zone}] = true
 		}
-		if server.Doubtful != "" {
-			p.doubtful[server.Doubtful]++
+		if server.UnconfirmedLoad != "" {
+			p.doubtful[server.UnconfirmedLoad]++
 		}
-		if server.Leaving || server.Suspect {
+		if server.Draining || server.Suspect {
 			continue
 		}
 		for model := range server.Models {
 			p.ready[model]++
 			if server.Limited {
-				p.limited[model] = p.limited[model].with(server.MostPerSecond)
+				p.limited[model] = p.limited[model].with(server.MaxPerSecond)
 			}
 		}
 		if server.Loading != "" {
@@ -237,7 +237,7 @@
 }
 
 func (p *plan) usable(server *Server) bool {
-	return !server.Busy && !server.Leaving && !server.Suspect && !server.Unasked && !p.taken[server.ID]
+	return !server.Busy && !server.Draining && !server.Suspect && !server.RecordOnly && !p.taken[server.ID]
 }
 
 // place finds the server where a replica costs least, first of all time. If that
@@ -278,7 +278,7 @@
 // mayWaitFor: the server takes an order now or, for a model that no server holds,
 // once the order under way has ended.
 func (p *plan) mayWaitFor(server *Server, w wish) bool {
-	if server.Leaving || server.Suspect || server.Unasked || p.taken[server.ID] || p.reserved[server.ID] || server.Intent == w.model.Name {
+	if server.Draining || server.Suspect || server.RecordOnly || p.taken[server.ID] || p.reserved[server.ID] || server.Intent == w.model.Name {
 		return false
 	}
 	return w.cold || !server.Busy && server.Intent == ""
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -42,7 +42,7 @@
 	if source == FromStore {
 		found.cost += storeCost
 		if p.storeLoads <= 0 {
-			found.start = max(found.start, p.StoreNextIn, shortestWait)
+			found.start = max(found.start, p.NextStoreLoadIn, shortestWait)
 		}
 	}
 	if server.Busy {
--- a/internal/planner/retire.go
+++ b/internal/planner/retire.go
@@ -34,7 +34,7 @@
 // retireReplica decides on a replica alone, and else sorts it under its row.
 func (w *workspace) retireReplica(i int, replica *Replica, staying [][]placedReplica) {
 	server := &w.snapshot.Servers[i]
-	if !server.Usable || replica.Phase == outside.ReplicaUnloading || replica.Ordered {
+	if !server.Usable || replica.Phase == outside.ReplicaUnloading || replica.UnloadOrdered {
 		return
 	}
 	at, known := w.index[replica.Model]
@@ -168,7 +168,7 @@
 
 // unload decides the unload of a replica, unless that was decided before.
 func (w *workspace) unload(i int, replica *Replica, reason Reason, forRow string) {
-	if replica.Draining || replica.Ordered || replica.Phase == outside.ReplicaUnloading {
+	if replica.Draining || replica.UnloadOrdered || replica.Phase == outside.ReplicaUnloading {
 		return
 	}
 	w.decide(Decision{
--- a/internal/planner/snapshot.go
+++ b/internal/planner/snapshot.go
@@ -91,11 +91,11 @@
 	Attempt outside.AttemptID
 	// Phase is ReplicaLoading also while the outcome of the order is unknown.
 	Phase outside.ReplicaPhase
-	// Draining replicas get no new work; Ordered ones have their unload sent.
-	Draining, Ordered bool
-	Running           int
-	MemoryBytes       int64
-	Source            outside.CheckpointSource
+	// Draining replicas get no new work; UnloadOrdered ones have their unload sent.
+	Draining, UnloadOrdered bool
+	Running                 int
+	MemoryBytes             int64
+	Source                  outside.CheckpointSource
 	// Since is when the phase was entered; ReadyAt estimates a load's end.
 	Since, ReadyAt time.Time
 	// Adapters in order of name.
--- a/internal/planner/verifier.go
+++ b/internal/planner/verifier.go
@@ -202,7 +202,7 @@
 	if replica.Attempt != decision.Attempt {
 		return RuleAttempt
 	}
-	if decision.Action == ActionResume && (replica.Ordered || !replica.Draining) {
+	if decision.Action == ActionResume && (replica.UnloadOrdered || !replica.Draining) {
 		return RuleAttempt
 	}
 	return ""
