--- a/cmd/hatchplank-node/assemble.go
+++ b/cmd/hatchplank-node/assemble.go
@@ -86,7 +86,7 @@
 	quota     *tenants.Quota
 	counters  *orders.CountersStore
 	poison    *poison.Guard
-	notices   *notice.Board
+	notices   *notice.Registry
 	forwarder *forward.Forwarder
 	metrics   *edge.Metrics
 	requests  *edge.RequestLog
@@ -115,7 +115,7 @@
 	n.transport = transport
 	n.metrics = edge.NewMetrics(n.gauges())
 	n.requests = edge.NewRequestLog(logger, n.metrics)
-	n.notices = notice.NewBoard(notice.Config{View: n.view, Counted: n.metrics.Notice, Despite: n.metrics.Despite, Limited: n.metrics.ToLimited, Logger: logger})
+	n.notices = notice.NewRegistry(notice.Config{View: n.view, OnNotice: n.metrics.Notice, OnDisregarded: n.metrics.Despite, OnLimitedSend: n.metrics.ToLimited, Logger: logger})
 	n.store.OnCall = n.metrics.StoreCall
 	n.store.FirstEraKey = firstEraKey
 	n.calls = quota.NewShare(quota.Rates{Reads: settings.Store.ReadsPerSecond, Writes: settings.Store.WritesPerSecond}, assumedNodes)
@@ -140,11 +140,11 @@
 // assembleLimits makes the node's part in counting what holds for all nodes together.
 func (n *node) assembleLimits() {
 	n.limiter = ratelimit.New(ratelimit.Config{
-		Known: tenants.LimitsOf(n.tenants, n.settings.QuotaWindow()), Transport: n.transport, Address: n.transport.Address(),
+		ConfiguredLimit: tenants.LimitsByName(n.tenants, n.settings.QuotaWindow()), Transport: n.transport, Address: n.transport.Address(),
 		InUse: func() bool { return n.tenants() != nil || n.notices.LimitedServers() > 0 }, Logger: n.logger,
 	})
 	n.limits = serverlimit.New(n.notices, n.limiter, n.metrics.ServerLimit)
-	n.quota = &tenants.Quota{Limiter: n.limiter, Window: n.settings.QuotaWindow(), Counted: n.metrics.Quota}
+	n.quota = &tenants.Quota{Limiter: n.limiter, Window: n.settings.QuotaWindow(), OnVerdict: n.metrics.Quota}
 }
 
 func (n *node) assembleOrders() {
@@ -327,8 +327,8 @@
 			return
 		case now := <-ticker.C:
 			n.forwarder.Prune()
-			n.notices.Tidy(now)
-			n.limits.Tidy(now)
+			n.notices.Prune(now)
+			n.limits.Prune(now)
 			n.servers.Tidy(now)
 		}
 	}
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -126,7 +126,7 @@
 
 // ServerLimit counts a question whether a server's limit has room.
 func (m *Metrics) ServerLimit(grant serverlimit.Grant) {
-	m.count(metricServerLimit, "verdict", verdictWord(grant.Within), "count", countWord(grant.CountedForAll()))
+	m.count(metricServerLimit, "verdict", verdictWord(grant.Allowed), "count", countWord(grant.CountedFleetWide()))
 }
 
 // verdictWord tells whether something was within a limit.
@@ -148,7 +148,7 @@
 // Quota counts a verdict on a tenant's request. The operators' configuration bounds
 // the number of tenants.
 func (m *Metrics) Quota(tenant string, verdict ratelimit.Verdict) {
-	m.count(metricQuota, "tenant", tenant, "verdict", verdictWord(verdict.Within), "count", countWord(verdict.CountedBy != ""))
+	m.count(metricQuota, "tenant", tenant, "verdict", verdictWord(verdict.Allowed), "count", countWord(verdict.CountedBy != ""))
 }
 
 // ServeHTTP writes the metrics in the Prometheus text format.
--- a/internal/forward/limit.go
+++ b/internal/forward/limit.go
@@ -20,7 +20,7 @@
 // announced.
 type Limits interface {
 	// Take asks for a slot for one request to a server.
-	Take(ctx context.Context, server *fleet.Server, need serverlimit.Need) serverlimit.Grant
+	Take(ctx context.Context, server *fleet.Server, need serverlimit.Request) serverlimit.Grant
 	// Return gives back a grant for a request that was not sent.
 	Return(grant serverlimit.Grant)
 	// Limited reports whether the server announced a limit.
@@ -38,8 +38,8 @@
 var _ Limits = NoLimits{}
 
 // Take implements Limits.
-func (NoLimits) Take(context.Context, *fleet.Server, serverlimit.Need) serverlimit.Grant {
-	return serverlimit.Grant{Within: true}
+func (NoLimits) Take(context.Context, *fleet.Server, serverlimit.Request) serverlimit.Grant {
+	return serverlimit.Grant{Allowed: true}
 }
 
 // Return implements Limits.
@@ -66,15 +66,15 @@
 // where no slot comes in time; then the flow records when the limit has capacity again.
 func (f *Forwarder) takeSlot(ctx context.Context, flow *flow, target *candidate, maxWait time.Duration) bool {
 	rank := float64(min(flow.priority, lowestPriority)) / lowestPriority
-	target.grant = f.limits.Take(ctx, target.server, serverlimit.Need{Rank: rank, MaxWait: maxWait})
+	target.grant = f.limits.Take(ctx, target.server, serverlimit.Request{Rank: rank, MaxWait: maxWait})
 	now := time.Now()
 	switch {
-	case !target.grant.Within:
-		flow.slotsAt[target.server.ID] = now.Add(target.grant.RoomIn)
+	case !target.grant.Allowed:
+		flow.slotsAt[target.server.ID] = now.Add(target.grant.RetryAfter)
 		f.release(flow, target, nil)
 		return false
-	case target.grant.In > 0:
-		flow.reservation = &reservation{target: target, notBefore: now.Add(target.grant.In)}
+	case target.grant.Delay > 0:
+		flow.reservation = &reservation{target: target, notBefore: now.Add(target.grant.Delay)}
 		return false
 	}
 	return true
--- a/internal/forward/limit_test.go
+++ b/internal/forward/limit_test.go
@@ -24,19 +24,19 @@
 	maxWait         time.Duration
 }
 
-func (l *fakeLimits) Take(_ context.Context, server *fleet.Server, need serverlimit.Need) serverlimit.Grant {
+func (l *fakeLimits) Take(_ context.Context, server *fleet.Server, need serverlimit.Request) serverlimit.Grant {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	grant, limited := l.grants[server.ID]
 	if !limited {
-		return serverlimit.Grant{Within: true}
+		return serverlimit.Grant{Allowed: true}
 	}
 	l.maxWait = max(l.maxWait, need.MaxWait)
-	grant.Limited, grant.Within = true, grant.RoomIn == 0 && grant.In <= need.MaxWait
-	if grant.Within {
+	grant.Limited, grant.Allowed = true, grant.RetryAfter == 0 && grant.Delay <= need.MaxWait
+	if grant.Allowed {
 		l.taken++
-	} else if grant.RoomIn == 0 {
-		grant.RoomIn = grant.In
+	} else if grant.RetryAfter == 0 {
+		grant.RetryAfter = grant.Delay
 	}
 	return grant
 }
@@ -44,7 +44,7 @@
 func (l *fakeLimits) Return(grant serverlimit.Grant) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if grant.Limited && grant.Within {
+	if grant.Limited && grant.Allowed {
 		l.returned++
 	}
 }
@@ -93,7 +93,7 @@
 
 func TestRequestWaitsForItsSlot(t *testing.T) {
 	withLimits(t, func(b *testbed, limits *fakeLimits) {
-		limits.announce(serverlimit.Grant{In: 700 * time.Millisecond}, "m1", "m2")
+		limits.announce(serverlimit.Grant{Delay: 700 * time.Millisecond}, "m1", "m2")
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 5*time.Second), &recorder{})
 		Expect(outcome.Code).To(Equal(result.OK))
 		Expect(outcome.Held).To(BeNumerically("~", 700*time.Millisecond, 10*time.Millisecond))
@@ -106,12 +106,12 @@
 // A request without a slot in time is refused at once, with the time of its slot.
 func TestRequestWithoutASlotInTimeIsRefusedAtOnce(t *testing.T) {
 	for name, grant := range map[string]serverlimit.Grant{
-		"later": {In: 1200 * time.Millisecond}, "slots are taken": {RoomIn: 1200 * time.Millisecond},
-		"slots are taken, free again within the objective": {RoomIn: 600 * time.Millisecond},
+		"later": {Delay: 1200 * time.Millisecond}, "slots are taken": {RetryAfter: 1200 * time.Millisecond},
+		"slots are taken, free again within the objective": {RetryAfter: 600 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			withLimits(t, func(b *testbed, limits *fakeLimits) {
-				slotIn := max(grant.In, grant.RoomIn)
+				slotIn := max(grant.Delay, grant.RetryAfter)
 				limits.announce(grant, "m1", "m2")
 				began := time.Now()
 				outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 9*time.Second), &recorder{})
@@ -175,7 +175,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			withLimits(t, func(b *testbed, limits *fakeLimits) {
-				limits.announce(serverlimit.Grant{In: 700 * time.Millisecond}, "m1")
+				limits.announce(serverlimit.Grant{Delay: 700 * time.Millisecond}, "m1")
 				body(b, limits)
 				Expect(limits.returned).To(Equal(limits.taken))
 			})
@@ -195,7 +195,7 @@
 	for _, free := range []bool{false, true} {
 		withLimits(t, func(b *testbed, limits *fakeLimits) {
 			b.backend.answer["m1"] = after(4*time.Second, streams(events(1, 3), time.Millisecond, io.EOF))
-			limits.announce(serverlimit.Grant{In: time.Second}, "m2")
+			limits.announce(serverlimit.Grant{Delay: time.Second}, "m2")
 			if free {
 				limits.announce(serverlimit.Grant{}, "m2")
 			}
@@ -216,7 +216,7 @@
 func TestRefusedSlotIsForgottenWhenTheLimitEnds(t *testing.T) {
 	withLimits(t, func(b *testbed, limits *fakeLimits) {
 		b.view.UpdateServers(map[string]*fleet.Server{"m2": nil})
-		limits.announce(serverlimit.Grant{RoomIn: time.Minute}, "m1")
+		limits.announce(serverlimit.Grant{RetryAfter: time.Minute}, "m1")
 		asked := request("patient", "m", 10*time.Second)
 		flow := b.forwarder.newFlow(asked, b.view.Load().Configuration.Match(asked.Host, asked.Path))
 		_, refusal := b.forwarder.nextTarget(context.Background(), flow)
--- a/internal/forward/tenant.go
+++ b/internal/forward/tenant.go
@@ -12,9 +12,9 @@
 // Quota enforces the limits of tenants over all nodes together.
 type Quota interface {
 	// Take reports whether a request is within its tenant's limit, and counts it if it is.
-	Take(ctx context.Context, tenant *tenants.Tenant, need tenants.Need) ratelimit.Verdict
+	Take(ctx context.Context, tenant *tenants.Tenant, need tenants.Request) ratelimit.Verdict
 	// Return gives back what was taken for a request that has not run.
-	Return(tenant *tenants.Tenant, need tenants.Need, verdict ratelimit.Verdict)
+	Return(tenant *tenants.Tenant, need tenants.Request, verdict ratelimit.Verdict)
 }
 
 // tokens is the number of tokens that are counted against the quota: those of the prompt and of
@@ -47,13 +47,13 @@
 	if f.quota == nil {
 		return nil
 	}
-	request.quota = f.quota.Take(ctx, request.Tenant, tenants.Need{Tokens: request.tokens(), Rank: configuration.RouteRank(route)})
-	if request.quota.Within {
+	request.quota = f.quota.Take(ctx, request.Tenant, tenants.Request{Tokens: request.tokens(), Rank: configuration.RouteRank(route)})
+	if request.quota.Allowed {
 		return nil
 	}
 	return &Outcome{
 		Code: result.OverQuota, Reason: overLimit(request.Tenant, request.quota), Route: route.Name,
-		RetryAfter: request.quota.RoomIn, Decision: Decision{Configuration: configuration.Revision},
+		RetryAfter: request.quota.RetryAfter, Decision: Decision{Configuration: configuration.Revision},
 	}
 }
 
@@ -68,6 +68,6 @@
 // returnQuota gives back what was taken for a request that has not run.
 func (f *Forwarder) returnQuota(request *Request) {
 	if f.quota != nil && request.Tenant != nil {
-		f.quota.Return(request.Tenant, tenants.Need{Tokens: request.tokens()}, request.quota)
+		f.quota.Return(request.Tenant, tenants.Request{Tokens: request.tokens()}, request.quota)
 	}
 }
--- a/internal/notice/limits.go
+++ b/internal/notice/limits.go
@@ -39,8 +39,8 @@
 	own bool
 }
 
-// HeardLimit is a server's limit, or that it names none, as one node tells others.
-type HeardLimit struct {
+// ObservedLimit is a server's limit, or that it names none, as one node tells others.
+type ObservedLimit struct {
 	Life  fleet.Incarnation
 	Limit Limit
 	// Age of the answer that said it.
@@ -57,7 +57,7 @@
 
 // hear takes over what an answer says of its server's limit, and reports whether that
 // changed what is known.
-func (l *limitBook) hear(life fleet.Incarnation, limit Limit, asked Asked, now time.Time) bool {
+func (l *limitBook) hear(life fleet.Incarnation, limit Limit, asked Call, now time.Time) bool {
 	known, isKnown := l.entries[life.ID]
 	switch {
 	case isKnown && known.life.Follows(life):
@@ -65,7 +65,7 @@
 		return false
 	case !limit.Named && !known.endedBy(life, asked):
 		return false
-	case limit.Named && known.limit.Named && !life.Follows(known.life) && asked.At.Before(known.at):
+	case limit.Named && known.limit.Named && !life.Follows(known.life) && asked.SentAt.Before(known.at):
 		// Both answers were under way at once, and the one that is heard last may be the older.
 		limit.PerSecond = min(limit.PerSecond, known.limit.PerSecond)
 	}
@@ -74,7 +74,7 @@
 
 // tell takes over what another node heard, unless something newer is known. It reports
 // whether that changed what is known.
-func (l *limitBook) tell(heard HeardLimit, now time.Time) bool {
+func (l *limitBook) tell(heard ObservedLimit, now time.Time) bool {
 	known, isKnown := l.entries[heard.Life.ID]
 	at := now.Add(-heard.Age)
 	if isKnown && (known.life.Follows(heard.Life) || known.at.After(at) && !heard.Life.Follows(known.life)) {
@@ -100,25 +100,25 @@
 }
 
 // after returns what changed after a version, in order of ID.
-func (l *limitBook) after(version uint64, only func(entry limitEntry) bool, now time.Time) []HeardLimit {
-	var changed []HeardLimit
+func (l *limitBook) after(version uint64, only func(entry limitEntry) bool, now time.Time) []ObservedLimit {
+	var changed []ObservedLimit
 	for _, entry := range l.entries {
 		if entry.version > version && only(entry) {
-			changed = append(changed, HeardLimit{Life: entry.life, Limit: entry.limit, Age: now.Sub(entry.at)})
+			changed = append(changed, ObservedLimit{Life: entry.life, Limit: entry.limit, Age: now.Sub(entry.at)})
 		}
 	}
-	slices.SortFunc(changed, func(a, b HeardLimit) int { return strings.Compare(a.Life.ID, b.Life.ID) })
+	slices.SortFunc(changed, func(a, b ObservedLimit) int { return strings.Compare(a.Life.ID, b.Life.ID) })
 	return changed
 }
 
 // endedBy reports whether an answer that names no limit ends the one that is known: it is
 // of a later life, or of a request that was sent after the limit was heard, and ran. Servers
 // need not name it where they refuse, or answer orders and questions.
-func (e limitEntry) endedBy(life fleet.Incarnation, asked Asked) bool {
+func (e limitEntry) endedBy(life fleet.Incarnation, asked Call) bool {
 	if !e.limit.Named {
 		return false
 	}
-	return life.Follows(e.life) || asked.Purpose == PurposeRequest && asked.Ran && asked.At.After(e.at)
+	return life.Follows(e.life) || asked.Purpose == PurposeRequest && asked.Started && asked.SentAt.After(e.at)
 }
 
 // of returns the limit of a server; the zero limit if none is known.
@@ -142,7 +142,7 @@
 }
 
 // hearLimit notes what an answer says of its server's limit.
-func (b *Board) hearLimit(server *fleet.Server, limit Limit, asked Asked) {
+func (b *Registry) hearLimit(server *fleet.Server, limit Limit, asked Call) {
 	b.mutex.RLock()
 	known := b.limits.entries[server.ID].limit
 	b.mutex.RUnlock()
@@ -162,27 +162,27 @@
 }
 
 // signal wakes who tells other nodes.
-func (b *Board) signal() {
+func (b *Registry) signal() {
 	select {
 	case b.news <- struct{}{}:
 	default:
 	}
 }
 
-// News receives after this node heard something new of a limit.
-func (b *Board) News() <-chan struct{} { return b.news }
+// LimitChanges receives after this node heard something new of a limit.
+func (b *Registry) LimitChanges() <-chan struct{} { return b.news }
 
-// OwnLimits are what this node itself heard of limits after a version, with the version now.
-func (b *Board) OwnLimits(after uint64) ([]HeardLimit, uint64) {
+// LocalLimits are what this node itself heard of limits after a version, with the version now.
+func (b *Registry) LocalLimits(after uint64) ([]ObservedLimit, uint64) {
 	return b.limitsAfter(after, func(entry limitEntry) bool { return entry.own })
 }
 
 // Limits are what this node knows of limits and learned after a version, with the version now.
-func (b *Board) Limits(after uint64) ([]HeardLimit, uint64) {
+func (b *Registry) Limits(after uint64) ([]ObservedLimit, uint64) {
 	return b.limitsAfter(after, func(limitEntry) bool { return true })
 }
 
-func (b *Board) limitsAfter(after uint64, only func(entry limitEntry) bool) ([]HeardLimit, uint64) {
+func (b *Registry) limitsAfter(after uint64, only func(entry limitEntry) bool) ([]ObservedLimit, uint64) {
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
 	if after >= b.limits.version {
@@ -191,9 +191,9 @@
 	return b.limits.after(after, only, time.Now()), b.limits.version
 }
 
-// TellLimits takes over what another node heard of limits, and reports whether any of it
+// MergeLimits takes over what another node heard of limits, and reports whether any of it
 // was new.
-func (b *Board) TellLimits(heard []HeardLimit, from string) bool {
+func (b *Registry) MergeLimits(heard []ObservedLimit, from string) bool {
 	anyNew := false
 	for _, one := range heard {
 		b.mutex.Lock()
@@ -212,14 +212,14 @@
 }
 
 // Limit returns what a server takes from all nodes together, as far as this node knows.
-func (b *Board) Limit(server *fleet.Server) Limit {
+func (b *Registry) Limit(server *fleet.Server) Limit {
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
 	return b.limits.of(server)
 }
 
 // LimitedServers counts the servers whose limit this node knows.
-func (b *Board) LimitedServers() int {
+func (b *Registry) LimitedServers() int {
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
 	count := 0
@@ -233,12 +233,12 @@
 
 // tellLimited logs and counts what is sent to a server with a limit: the lines of all nodes
 // together are what the server gets.
-func (b *Board) tellLimited(server *fleet.Server, purpose Purpose) {
+func (b *Registry) tellLimited(server *fleet.Server, purpose Purpose) {
 	limit := b.Limit(server)
 	if !limit.Named {
 		return
 	}
-	b.config.Limited(purpose)
+	b.config.OnLimitedSend(purpose)
 	if event := b.limiter.Event(&b.config.Logger, zerolog.InfoLevel, "limited"); event != nil {
 		event.Str("server", server.ID).Str("purpose", string(purpose)).Float64("server_limit", limit.PerSecond).Msg("sent to a server with a limit")
 	}
--- a/internal/notice/limits_test.go
+++ b/internal/notice/limits_test.go
@@ -11,12 +11,12 @@
 )
 
 // request is something that is sent now.
-func request() Asked { return Asked{Purpose: PurposeRequest, At: time.Now(), Ran: true} }
+func request() Call { return Call{Purpose: PurposeRequest, SentAt: time.Now(), Started: true} }
 
 // of is the limit of so many a second.
 func of(perSecond float64) Limit { return Limit{Named: true, PerSecond: perSecond} }
 
-func (b *board) says(limit Limit, asked Asked) { b.Heard(b.server, Notice{Limit: limit}, asked) }
+func (b *board) says(limit Limit, asked Call) { b.RecordNotice(b.server, Notice{Limit: limit}, asked) }
 
 func TestNewestWordOnALimitCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -39,9 +39,9 @@
 		Expect(b.Limit(b.server)).To(Equal(of(1)))
 		// Refusals, and answers to orders and questions, need not name it.
 		time.Sleep(time.Second)
-		b.says(Limit{}, Asked{Purpose: PurposeRequest, At: time.Now()})
+		b.says(Limit{}, Call{Purpose: PurposeRequest, SentAt: time.Now()})
 		Expect(b.Limit(b.server)).To(Equal(of(1)))
-		b.says(Limit{}, Asked{Purpose: PurposeOrder, At: time.Now()})
+		b.says(Limit{}, Call{Purpose: PurposeOrder, SentAt: time.Now()})
 		Expect(b.Limit(b.server)).To(Equal(of(1)))
 		time.Sleep(time.Second)
 		b.says(Limit{}, request())
@@ -56,16 +56,16 @@
 		RegisterTestingT(t)
 		b := newBoard()
 		first, second := &fleet.Server{ID: "s", Born: 5}, &fleet.Server{ID: "s", Born: 6}
-		b.Heard(first, Notice{Limit: of(1)}, request())
+		b.RecordNotice(first, Notice{Limit: of(1)}, request())
 		Expect(b.Limit(first)).To(Equal(of(1)))
 		Expect(b.Limit(second)).To(BeZero())
 		// A record that was passed on without its birth.
 		Expect(b.Limit(b.server)).To(Equal(of(1)))
-		b.Heard(second, Notice{Limit: of(3)}, request())
+		b.RecordNotice(second, Notice{Limit: of(3)}, request())
 		// A late answer of the first life.
-		b.Heard(first, Notice{Limit: of(2)}, request())
+		b.RecordNotice(first, Notice{Limit: of(2)}, request())
 		Expect(b.Limit(second)).To(Equal(of(3)))
-		b.Heard(&fleet.Server{ID: "s", Born: 7}, Notice{}, request())
+		b.RecordNotice(&fleet.Server{ID: "s", Born: 7}, Notice{}, request())
 		Expect(b.Limit(b.server)).To(BeZero())
 	})
 }
@@ -75,11 +75,11 @@
 		RegisterTestingT(t)
 		b := newBoard()
 		counted := map[Purpose]int{}
-		b.config.Limited = func(purpose Purpose) { counted[purpose]++ }
-		b.Sending(b.server, PurposeRequest)
+		b.config.OnLimitedSend = func(purpose Purpose) { counted[purpose]++ }
+		b.RecordSend(b.server, PurposeRequest)
 		b.says(of(2.5), request())
-		b.Sending(b.server, PurposeRequest)
-		b.Sending(b.server, PurposeOrder)
+		b.RecordSend(b.server, PurposeRequest)
+		b.RecordSend(b.server, PurposeOrder)
 		Expect(counted).To(Equal(map[Purpose]int{PurposeRequest: 1, PurposeOrder: 1}))
 		Expect(b.output.String()).To(ContainSubstring(`"server_limited":true,"server_limit":2.5,"server_limit_before":0,"message":"server's limit"`))
 		Expect(b.output.String()).To(ContainSubstring(`"purpose":"order","server_limit":2.5,"message":"sent to a server with a limit"`))
@@ -93,18 +93,18 @@
 		b := newBoard()
 		life := b.server.Incarnation()
 		time.Sleep(time.Minute)
-		Expect(b.TellLimits([]HeardLimit{{Life: life, Limit: of(2), Age: time.Second}}, "x")).To(BeTrue())
+		Expect(b.MergeLimits([]ObservedLimit{{Life: life, Limit: of(2), Age: time.Second}}, "x")).To(BeTrue())
 		Expect(b.Limit(b.server)).To(Equal(of(2)))
-		Expect(b.TellLimits([]HeardLimit{{Life: life, Limit: of(2)}}, "y")).To(BeFalse(), "nothing new")
-		Expect(b.TellLimits([]HeardLimit{{Life: life, Age: 500 * time.Millisecond}}, "x")).To(BeFalse(), "older than the last word")
+		Expect(b.MergeLimits([]ObservedLimit{{Life: life, Limit: of(2)}}, "y")).To(BeFalse(), "nothing new")
+		Expect(b.MergeLimits([]ObservedLimit{{Life: life, Age: 500 * time.Millisecond}}, "x")).To(BeFalse(), "older than the last word")
 		Expect(b.Limit(b.server)).To(Equal(of(2)))
-		Expect(b.TellLimits([]HeardLimit{{Life: fleet.Incarnation{ID: "s", Born: 4}, Limit: of(2)}}, "y")).To(BeFalse(), "a birth that is not known here")
+		Expect(b.MergeLimits([]ObservedLimit{{Life: fleet.Incarnation{ID: "s", Born: 4}, Limit: of(2)}}, "y")).To(BeFalse(), "a birth that is not known here")
 		time.Sleep(time.Second)
-		Expect(b.TellLimits([]HeardLimit{{Life: life}}, "x")).To(BeTrue())
+		Expect(b.MergeLimits([]ObservedLimit{{Life: life}}, "x")).To(BeTrue())
 		Expect(b.Limit(b.server)).To(BeZero())
-		Expect(b.TellLimits([]HeardLimit{{Life: life, Limit: of(2), Age: time.Minute}}, "z")).To(BeFalse(), "a word that was long on its way")
-		Expect(b.TellLimits([]HeardLimit{{Life: fleet.Incarnation{ID: "s", Born: 8}, Limit: of(2)}}, "z")).To(BeTrue())
-		Expect(b.TellLimits([]HeardLimit{{Life: fleet.Incarnation{ID: "s", Born: 9}, Limit: of(3), Age: time.Minute}}, "z")).To(BeTrue(), "a later life")
+		Expect(b.MergeLimits([]ObservedLimit{{Life: life, Limit: of(2), Age: time.Minute}}, "z")).To(BeFalse(), "a word that was long on its way")
+		Expect(b.MergeLimits([]ObservedLimit{{Life: fleet.Incarnation{ID: "s", Born: 8}, Limit: of(2)}}, "z")).To(BeTrue())
+		Expect(b.MergeLimits([]ObservedLimit{{Life: fleet.Incarnation{ID: "s", Born: 9}, Limit: of(3), Age: time.Minute}}, "z")).To(BeTrue(), "a later life")
 	})
 }
 
@@ -113,20 +113,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
 		b := newBoard()
-		b.TellLimits([]HeardLimit{{Life: fleet.Incarnation{ID: "other"}, Limit: of(4)}}, "x")
+		b.MergeLimits([]ObservedLimit{{Life: fleet.Incarnation{ID: "other"}, Limit: of(4)}}, "x")
 		b.says(of(2), request())
-		Expect(b.News()).To(Receive())
-		own, version := b.OwnLimits(0)
-		Expect(own).To(Equal([]HeardLimit{{Life: b.server.Incarnation(), Limit: of(2)}}))
+		Expect(b.LimitChanges()).To(Receive())
+		own, version := b.LocalLimits(0)
+		Expect(own).To(Equal([]ObservedLimit{{Life: b.server.Incarnation(), Limit: of(2)}}))
 		time.Sleep(time.Second)
 		b.says(of(2), request())
-		Expect(b.News()).NotTo(Receive())
-		own, _ = b.OwnLimits(version)
+		Expect(b.LimitChanges()).NotTo(Receive())
+		own, _ = b.LocalLimits(version)
 		Expect(own).To(BeEmpty())
 		all, _ := b.Limits(0)
 		Expect(all).To(HaveLen(2))
-		b.says(Limit{}, Asked{Purpose: PurposeRequest, At: time.Now().Add(time.Millisecond), Ran: true})
-		own, _ = b.OwnLimits(version)
+		b.says(Limit{}, Call{Purpose: PurposeRequest, SentAt: time.Now().Add(time.Millisecond), Started: true})
+		own, _ = b.LocalLimits(version)
 		Expect(own).To(HaveLen(1))
 		Expect(own[0].Limit).To(BeZero())
 	})
@@ -137,7 +137,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
 		b := newBoard()
-		b.TellLimits([]HeardLimit{
+		b.MergeLimits([]ObservedLimit{
 			{Life: fleet.Incarnation{ID: "gone"}, Limit: of(1)}, {Life: b.server.Incarnation(), Limit: of(1)}, {Life: fleet.Incarnation{ID: "over"}},
 		}, "x")
 		for _, step := range []struct {
@@ -145,7 +145,7 @@
 			kept  int
 		}{{30 * time.Second, 3}, {time.Minute, 2}, {10 * time.Minute, 1}} {
 			time.Sleep(step.after)
-			b.Tidy(time.Now())
+			b.Prune(time.Now())
 			Expect(b.limits.entries).To(HaveLen(step.kept))
 		}
 	})
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -46,12 +46,12 @@
 	PurposeReport  Purpose = "report"
 )
 
-// Asked is what an answer belongs to: it was sent at a time, or just after.
-type Asked struct {
+// Call is what an answer belongs to: it was sent at a time, or just after.
+type Call struct {
 	Purpose Purpose
-	At      time.Time
-	// Ran: the server has begun to work on it, as the answer shows.
-	Ran bool
+	SentAt  time.Time
+	// Started: the server has begun to work on it, as the answer shows.
+	Started bool
 }
 
 // IsZero reports whether the answer told nothing.
@@ -97,18 +97,18 @@
 type Config struct {
 	// View takes over which servers leave.
 	View *fleet.View
-	// Counted is called with each notice that was heard; nil: not called.
-	Counted func(kind Kind)
-	// Despite is called with each sending to a server that had told this node not to
+	// OnNotice is called with each notice that was heard; nil: not called.
+	OnNotice func(kind Kind)
+	// OnDisregarded is called with each sending to a server that had told this node not to
 	// send; nil: not called.
-	Despite func(kind Kind)
-	// Limited is called with each sending to a server whose limit is known; nil: not called.
-	Limited func(purpose Purpose)
-	Logger  zerolog.Logger
+	OnDisregarded func(kind Kind)
+	// OnLimitedSend is called with each sending to a server whose limit is known; nil: not called.
+	OnLimitedSend func(purpose Purpose)
+	Logger        zerolog.Logger
 }
 
-// Board is what servers have told this node. It is safe for concurrent use.
-type Board struct {
+// Registry is what servers have told this node. It is safe for concurrent use.
+type Registry struct {
 	config  Config
 	limiter *logging.Limiter
 
@@ -126,22 +126,22 @@
 	until time.Time
 }
 
-// NewBoard returns a board on which nothing was noted.
-func NewBoard(config Config) *Board {
-	if config.Counted == nil {
-		config.Counted = func(Kind) {}
+// NewRegistry returns a board on which nothing was noted.
+func NewRegistry(config Config) *Registry {
+	if config.OnNotice == nil {
+		config.OnNotice = func(Kind) {}
 	}
-	if config.Despite == nil {
-		config.Despite = func(Kind) {}
+	if config.OnDisregarded == nil {
+		config.OnDisregarded = func(Kind) {}
 	}
-	if config.Limited == nil {
-		config.Limited = func(Purpose) {}
+	if config.OnLimitedSend == nil {
+		config.OnLimitedSend = func(Purpose) {}
 	}
-	return &Board{config: config, limiter: logging.NewLimiter(linesPerSecond), backoffs: map[string]backoff{}, limits: limitBook{entries: map[string]limitEntry{}}, news: make(chan struct{}, 1)}
+	return &Registry{config: config, limiter: logging.NewLimiter(linesPerSecond), backoffs: map[string]backoff{}, limits: limitBook{entries: map[string]limitEntry{}}, news: make(chan struct{}, 1)}
 }
 
-// Heard notes what a server's answer told.
-func (b *Board) Heard(server *fleet.Server, heard Notice, asked Asked) {
+// RecordNotice notes what a server's answer told.
+func (b *Registry) RecordNotice(server *fleet.Server, heard Notice, asked Call) {
 	b.hearLimit(server, heard.Limit, asked)
 	if heard.IsZero() {
 		return
@@ -153,7 +153,7 @@
 		b.backOff(server.Incarnation(), time.Now().Add(heard.RetryAfter))
 	}
 	for _, kind := range heard.kinds() {
-		b.config.Counted(kind)
+		b.config.OnNotice(kind)
 	}
 	if event := b.limiter.Event(&b.config.Logger, zerolog.InfoLevel, "notice"); event != nil {
 		event.Str("server", server.ID).Str("pool", server.Pool).Bool("server_leaving", heard.Leaving).
@@ -164,7 +164,7 @@
 
 // backOff notes until when a server wants nothing. The longest time counts: the answer that
 // asks for a shorter one may be the older. What an earlier life asked for is over.
-func (b *Board) backOff(life fleet.Incarnation, until time.Time) {
+func (b *Registry) backOff(life fleet.Incarnation, until time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	known := b.backoffs[life.ID]
@@ -178,7 +178,7 @@
 
 // BackoffUntil is until when a server wants nothing from this node; the zero time if it
 // has not asked for that.
-func (b *Board) BackoffUntil(server *fleet.Server) time.Time {
+func (b *Registry) BackoffUntil(server *fleet.Server) time.Time {
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
 	known, asked := b.backoffs[server.ID]
@@ -188,17 +188,17 @@
 	return known.until
 }
 
-// Sending notes that something is sent to a server, and logs and counts it if the server
+// RecordSend notes that something is sent to a server, and logs and counts it if the server
 // had told this node not to, or has a limit that is known here.
-func (b *Board) Sending(server *fleet.Server, purpose Purpose) {
+func (b *Registry) RecordSend(server *fleet.Server, purpose Purpose) {
 	b.tellLimited(server, purpose)
 	listed := b.config.View.Load().Servers[server.ID]
 	leaving, left := listed != nil && listed.ReportedLeaving, time.Until(b.BackoffUntil(server))
 	if leaving {
-		b.config.Despite(KindLeaving)
+		b.config.OnDisregarded(KindLeaving)
 	}
 	if left > 0 {
-		b.config.Despite(KindRetryAfter)
+		b.config.OnDisregarded(KindRetryAfter)
 	}
 	if !leaving && left <= 0 {
 		return
@@ -209,9 +209,9 @@
 	}
 }
 
-// Tidy forgets the backoffs that are over, and limits of servers that are gone. It is called
+// Prune forgets the backoffs that are over, and limits of servers that are gone. It is called
 // now and then.
-func (b *Board) Tidy(now time.Time) {
+func (b *Registry) Prune(now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	maps.DeleteFunc(b.backoffs, func(_ string, known backoff) bool { return !now.Before(known.until) })
--- a/internal/notice/notice_test.go
+++ b/internal/notice/notice_test.go
@@ -17,7 +17,7 @@
 
 // board is a board with a server "s", and what it counted.
 type board struct {
-	*Board
+	*Registry
 	view             *fleet.View
 	server           *fleet.Server
 	counted, despite map[Kind]int
@@ -27,8 +27,8 @@
 func newBoard() *board {
 	b := &board{view: fleet.NewView(), server: &fleet.Server{ID: "s", Pool: "p"}, counted: map[Kind]int{}, despite: map[Kind]int{}}
 	b.view.ReplaceServers(map[string]*fleet.Server{"s": b.server})
-	b.Board = NewBoard(Config{
-		View: b.view, Counted: func(kind Kind) { b.counted[kind]++ }, Despite: func(kind Kind) { b.despite[kind]++ },
+	b.Registry = NewRegistry(Config{
+		View: b.view, OnNotice: func(kind Kind) { b.counted[kind]++ }, OnDisregarded: func(kind Kind) { b.despite[kind]++ },
 		Logger: zerolog.New(&b.output),
 	})
 	return b
@@ -47,12 +47,12 @@
 				latest = until
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 1000).Draw(t, "step")) * time.Millisecond)
-			b.Tidy(now)
+			b.Prune(now)
 			if now.Before(latest) {
 				g.Expect(b.BackoffUntil(b.server)).To(Equal(latest))
 			}
 		}
-		b.Tidy(latest)
+		b.Prune(latest)
 		g.Expect(b.BackoffUntil(b.server)).To(BeZero())
 		g.Expect(b.backoffs).To(BeEmpty())
 	})
@@ -62,18 +62,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
 		b := newBoard()
-		b.Heard(b.server, Notice{}, Asked{})
-		b.Sending(b.server, "request")
+		b.RecordNotice(b.server, Notice{}, Call{})
+		b.RecordSend(b.server, "request")
 		Expect(b.despite).To(BeEmpty())
 		Expect(b.output.String()).To(BeEmpty())
-		b.Heard(b.server, Notice{RetryAfter: time.Second}, Asked{})
-		b.Sending(b.server, "order")
+		b.RecordNotice(b.server, Notice{RetryAfter: time.Second}, Call{})
+		b.RecordSend(b.server, "order")
 		Expect(b.despite).To(Equal(map[Kind]int{KindRetryAfter: 1}))
 		time.Sleep(time.Second)
-		b.Sending(b.server, "order")
+		b.RecordSend(b.server, "order")
 		Expect(b.despite).To(Equal(map[Kind]int{KindRetryAfter: 1}))
-		b.Heard(b.server, Notice{Leaving: true, Unreadable: "soon"}, Asked{})
-		b.Sending(b.server, "request")
+		b.RecordNotice(b.server, Notice{Leaving: true, Unreadable: "soon"}, Call{})
+		b.RecordSend(b.server, "request")
 		Expect(b.despite).To(Equal(map[Kind]int{KindRetryAfter: 1, KindLeaving: 1}))
 		Expect(b.counted).To(Equal(map[Kind]int{KindRetryAfter: 1, KindLeaving: 1, KindUnreadable: 1}))
 		Expect(b.output.String()).To(ContainSubstring(`"purpose":"order","server_leaving":false,"backoff_left_ms":1000`))
--- a/internal/orders/builds_test.go
+++ b/internal/orders/builds_test.go
@@ -23,7 +23,7 @@
 // is new to them. A new node's word on limits has no token for them, which is older than any.
 func TestEarlierBuildsPassOverLimits(t *testing.T) {
 	RegisterTestingT(t)
-	heard := []notice.HeardLimit{{Life: fleet.Incarnation{ID: "s", Born: 5}, Limit: notice.Limit{Named: true, PerSecond: 2}, Age: time.Second}}
+	heard := []notice.ObservedLimit{{Life: fleet.Incarnation{ID: "s", Born: 5}, Limit: notice.Limit{Named: true, PerSecond: 2}, Age: time.Second}}
 	for _, sent := range []Update{{Limits: heard}, {Token: 7, Version: 3, Nodes: 4, Limits: heard, LimitsVersion: 9}} {
 		var frame bytes.Buffer
 		Expect(gob.NewEncoder(&frame).Encode(sent)).To(Succeed())
--- a/internal/orders/counters.go
+++ b/internal/orders/counters.go
@@ -38,7 +38,7 @@
 	if majorityReports(earlier.Addresses, live) {
 		h.countersMajorityAt = now
 	}
-	chosen := ratelimit.Choose(earlier.Addresses, addresses)
+	chosen := ratelimit.ChooseCounters(earlier.Addresses, addresses)
 	mayChange := h.countersMajorityAt.Equal(now) || now.Sub(h.countersMajorityAt) >= countersTimeout
 	changed := collected && mayChange && len(chosen) > 0 && !slices.Equal(chosen, h.counters.Addresses)
 	if changed {
--- a/internal/orders/holder.go
+++ b/internal/orders/holder.go
@@ -48,7 +48,7 @@
 	// CountersStore saves the list of counting nodes in the store.
 	SavedCounters *CountersStore
 	// Notices are the backoffs and rate limits that servers sent to this node or another one.
-	Notices *notice.Board
+	Notices *notice.Registry
 	// Limits keeps the load on servers within the rate limits that they announced.
 	Limits forward.Limits
 	// LoadRate bounds the loads from the weight store.
@@ -280,7 +280,7 @@
 			h.config.Logger.Info().Str("server", server.ID).Int64("born", server.Born).Str("told_by", report.Node).Msg("server leaves, as it told a node")
 		}
 	}
-	h.config.Notices.TellLimits(report.Limits, report.Node)
+	h.config.Notices.MergeLimits(report.Limits, report.Node)
 	h.Wake()
 	after, limitsAfter := report.Version, report.LimitsVersion
 	if report.Token != term.Token {
--- a/internal/orders/limits.go
+++ b/internal/orders/limits.go
@@ -11,7 +11,7 @@
 // holder receives them with the report that follows.
 func (l *Link) sendLimits() {
 	l.mutex.Lock()
-	limits, version := l.config.Notices.OwnLimits(l.limitsSent)
+	limits, version := l.config.Notices.LocalLimits(l.limitsSent)
 	l.limitsSent = version
 	l.mutex.Unlock()
 	if len(limits) == 0 {
--- a/internal/orders/link.go
+++ b/internal/orders/link.go
@@ -40,7 +40,7 @@
 	NewDemand func() <-chan struct{}
 	// Notices holds the rate limits that servers sent to this node, and receives those that
 	// other nodes report.
-	Notices *notice.Board
+	Notices *notice.Registry
 	// SetNodes is called with the number of nodes that share the retry budget.
 	SetNodes func(nodes int)
 	// Counters returns the nodes that count rate limits for all, as known to this node;
@@ -130,7 +130,7 @@
 			return
 		case <-l.config.NewDemand():
 			clock.Sleep(ctx, demandBatchPause)
-		case <-l.config.Notices.News():
+		case <-l.config.Notices.LimitChanges():
 			l.sendLimits()
 		case <-timer.C:
 		}
@@ -190,7 +190,7 @@
 		Token: l.token, Version: l.version, Leaving: l.config.View.Leaving(), LimitsVersion: l.limitsReceived,
 	}
 	content := reportContent{token: l.token, arrived: map[forward.DemandKey]uint64{}}
-	report.Limits, content.limits = l.config.Notices.OwnLimits(l.limitsReported)
+	report.Limits, content.limits = l.config.Notices.LocalLimits(l.limitsReported)
 	counters := l.config.Counters()
 	report.Counters, report.CountersToken = counters.Version, counters.Token
 	now := time.Now()
@@ -230,7 +230,7 @@
 // apply applies an update from the holder, unless it is from an earlier term, or rate limits
 // from another node.
 func (l *Link) apply(update Update, from string) {
-	if l.config.Notices.TellLimits(update.Limits, from) {
+	if l.config.Notices.MergeLimits(update.Limits, from) {
 		l.config.Holder.Wake()
 	}
 	l.mutex.Lock()
--- a/internal/orders/messages.go
+++ b/internal/orders/messages.go
@@ -47,7 +47,7 @@
 	// Limits are the servers' rate limits that the node received from servers since its last
 	// report that was answered, and LimitsVersion is the version up to which it has the
 	// limits that the holder sent in its term.
-	Limits        []notice.HeardLimit
+	Limits        []notice.ObservedLimit
 	LimitsVersion uint64
 	// Counters is the version of the node's list of nodes that count rate limits, and
 	// CountersToken the token of the term that the list is from.
@@ -95,7 +95,7 @@
 	// list stays.
 	Counters ratelimit.Counters
 	// Limits are the servers' rate limits that changed after LimitsBase, up to LimitsVersion.
-	Limits                    []notice.HeardLimit
+	Limits                    []notice.ObservedLimit
 	LimitsBase, LimitsVersion uint64
 }
 
--- a/internal/orders/room.go
+++ b/internal/orders/room.go
@@ -29,11 +29,11 @@
 	if h.remainingBackoff(server, time.Now()) > 0 {
 		return serverlimit.Grant{}, false
 	}
-	grant := h.config.Limits.Take(ctx, server, serverlimit.Need{MaxWait: serverlimit.Window})
-	if !grant.Within {
+	grant := h.config.Limits.Take(ctx, server, serverlimit.Request{MaxWait: serverlimit.Window})
+	if !grant.Allowed {
 		return grant, false
 	}
-	clock.Sleep(ctx, grant.In)
+	clock.Sleep(ctx, grant.Delay)
 	if ctx.Err() != nil || h.remainingBackoff(server, time.Now()) > 0 {
 		h.config.Limits.Return(grant)
 		return grant, false
--- a/internal/orders/scale_test.go
+++ b/internal/orders/scale_test.go
@@ -65,7 +65,7 @@
 	view := fleet.NewView()
 	view.SetConfiguration(snapshot.Configuration)
 	view.ReplaceServers(snapshot.Servers)
-	return NewHolder(HolderConfig{View: view, Notices: notice.NewBoard(notice.Config{View: view}), Limits: forward.NoLimits{}, Engines: engines, Name: "h", Push: push, LoadRate: LoadRateLimits{Window: 5 * time.Second, Overage: 1.1}, Logger: zerolog.Nop()})
+	return NewHolder(HolderConfig{View: view, Notices: notice.NewRegistry(notice.Config{View: view}), Limits: forward.NoLimits{}, Engines: engines, Name: "h", Push: push, LoadRate: LoadRateLimits{Window: 5 * time.Second, Overage: 1.1}, Logger: zerolog.Nop()})
 }
 
 // waitingReport is a node whose callers wait for an adapter.
--- a/internal/peer/wirenames_test.go
+++ b/internal/peer/wirenames_test.go
@@ -68,9 +68,9 @@
 	"tablestore.PushMessage":     tablestore.PushMessage{},
 	"tablestore.RevisionReply":   tablestore.RevisionReply{},
 	"tablestore.RevisionRequest": tablestore.RevisionRequest{},
-	"tenants.Answer":             ratelimit.Answer{},
-	"tenants.Ask":                ratelimit.Ask{},
-	"tenants.GiveBack":           ratelimit.GiveBack{},
+	"tenants.Answer":             ratelimit.TakeReply{},
+	"tenants.Ask":                ratelimit.TakeRequest{},
+	"tenants.GiveBack":           ratelimit.ReturnMessage{},
 
 	membershipPath + "IndirectProbeMessage": membership.IndirectProbeMessage{},
 	membershipPath + "ProbeMessage":         membership.ProbeMessage{},
--- a/internal/ratelimit/account.go
+++ b/internal/ratelimit/account.go
@@ -116,23 +116,23 @@
 // take takes the cost, if there is room for it, or will be within the time that the asking
 // node waits. Otherwise it tells how long it takes until there is, and each refused caller
 // another time within a window, so that they don't come back together.
-func (a *account) take(limit Limit, ask Ask, now time.Time) Verdict {
+func (a *account) take(limit Limit, ask TakeRequest, now time.Time) Verdict {
 	wait := a.wait(limit, ask, now)
 	if wait <= ask.MaxWait {
 		a.level -= ask.Cost
 		a.recent.Add(ask.Cost, now)
-		return Verdict{Within: true, In: wait}
+		return Verdict{Allowed: true, Delay: wait}
 	}
 	room := now.Add(wait)
 	if room.Before(a.nextRoom) {
 		room = a.nextRoom
 	}
 	a.nextRoom = room.Add(timeFor(ask.Cost, limit.Rate))
-	return Verdict{RoomIn: min(room.Sub(now), max(a.length, wait)), NextIn: wait}
+	return Verdict{RetryAfter: min(room.Sub(now), max(a.length, wait)), NextSlotIn: wait}
 }
 
 // wait is the time until there is room; zero: there is.
-func (a *account) wait(limit Limit, ask Ask, now time.Time) time.Duration {
+func (a *account) wait(limit Limit, ask TakeRequest, now time.Time) time.Duration {
 	missing := min(ask.Cost+a.reserve(limit, ask.Cost, ask.Rank, now), surge(limit)) - a.levelNow(limit, now)
 	wait := timeFor(max(missing, 0), limit.Rate)
 	if limit.Paced {
--- a/internal/ratelimit/ask.go
+++ b/internal/ratelimit/ask.go
@@ -22,7 +22,7 @@
 		if answer, answered := l.askOne(ctx, address, request); answered {
 			l.heard.set(request.Name, answer, time.Now())
 			return Verdict{
-				Within: answer.Within, In: answer.In, RoomIn: answer.RoomIn, NextIn: answer.NextIn, CountedBy: answer.CountedBy,
+				Allowed: answer.Within, Delay: answer.In, RetryAfter: answer.RoomIn, NextSlotIn: answer.NextIn, CountedBy: answer.CountedBy,
 				process: answer.Process, takenAt: time.Now(),
 			}
 		}
@@ -30,12 +30,12 @@
 	now := time.Now()
 	within, roomIn := l.alone.take(request.Name, request.Limit, request.Cost, l.heard.near(request.Name, request.Limit, now), now)
 	// A node that counts for all may answer soon.
-	return Verdict{Within: within, RoomIn: roomIn, NextIn: min(roomIn, probePeriod)}
+	return Verdict{Allowed: within, RetryAfter: roomIn, NextSlotIn: min(roomIn, probePeriod)}
 }
 
 // askOne asks one node, which may be this one.
-func (l *Limiter) askOne(ctx context.Context, address string, request Request) (Answer, bool) {
-	ask := Ask{
+func (l *Limiter) askOne(ctx context.Context, address string, request Request) (TakeReply, bool) {
+	ask := TakeRequest{
 		Tenant: request.Name, Cost: request.Cost, Rank: request.Rank, MaxWait: request.MaxWait, Heard: l.heard.other(request.Name, address, time.Now()),
 	}
 	if !l.isKnown(request.Name) {
@@ -43,13 +43,13 @@
 	}
 	if address == l.config.Address {
 		if !l.mayCount(time.Now()) {
-			return Answer{}, false
+			return TakeReply{}, false
 		}
 		return l.count(request.Limit, ask), true
 	}
-	answers := make(chan *Answer, 1)
+	answers := make(chan *TakeReply, 1)
 	l.config.Transport.Call(address, ask, askTimeout, func(message peer.Message, err error) {
-		answer, isAnswer := message.(Answer)
+		answer, isAnswer := message.(TakeReply)
 		if err != nil || !isAnswer {
 			l.setSilent(address, true)
 			answers <- nil
@@ -63,31 +63,31 @@
 	select {
 	case answer := <-answers:
 		if answer == nil || answer.countedNothing() && !l.isKnown(request.Name) {
-			return Answer{}, false
+			return TakeReply{}, false
 		}
 		return *answer, true
 	case <-ctx.Done():
-		return Answer{}, false
+		return TakeReply{}, false
 	}
 }
 
 // countedNothing: the node knows no such limit. It runs an earlier build, or its
 // configuration is another one.
-func (a Answer) countedNothing() bool { return a.Within && a.Process == 0 }
+func (a TakeReply) countedNothing() bool { return a.Within && a.Process == 0 }
 
 // count counts on this node.
-func (l *Limiter) count(limit Limit, ask Ask) Answer {
+func (l *Limiter) count(limit Limit, ask TakeRequest) TakeReply {
 	now := time.Now()
 	verdict, left := l.keeper.take(limit, ask, now)
-	return Answer{
-		Within: verdict.Within, In: verdict.In, RoomIn: verdict.RoomIn, NextIn: verdict.NextIn, CountedBy: l.config.Address, Process: l.process, Left: left,
+	return TakeReply{
+		Within: verdict.Allowed, In: verdict.Delay, RoomIn: verdict.RetryAfter, NextIn: verdict.NextSlotIn, CountedBy: l.config.Address, Process: l.process, Left: left,
 	}
 }
 
 // limitOf is the limit that an ask is about: the one that this node knows by the name, or
 // else the asking node's.
-func (l *Limiter) limitOf(ask Ask) (Limit, bool) {
-	if limit, known := l.config.Known(ask.Tenant); known {
+func (l *Limiter) limitOf(ask TakeRequest) (Limit, bool) {
+	if limit, known := l.config.ConfiguredLimit(ask.Tenant); known {
 		return limit, true
 	}
 	return ask.Limit, ask.Limit.Rate > 0
@@ -95,14 +95,14 @@
 
 // isKnown: the limit has a name that the nodes' configuration knows.
 func (l *Limiter) isKnown(name string) bool {
-	_, known := l.config.Known(name)
+	_, known := l.config.ConfiguredLimit(name)
 	return known
 }
 
 // serveAsk answers another node.
 func (l *Limiter) serveAsk(from string, message peer.Message, reply func(peer.Message, error)) {
-	ask := message.(Ask)
-	answer := func(answer Answer) {
+	ask := message.(TakeRequest)
+	answer := func(answer TakeReply) {
 		answer.Silent = l.isSilent(from)
 		reply(answer, nil)
 	}
@@ -110,7 +110,7 @@
 		l.noteHeard(from)
 	}
 	if ask.Cost == 0 {
-		answer(Answer{})
+		answer(TakeReply{})
 		return
 	}
 	now := time.Now()
@@ -135,13 +135,13 @@
 
 // countFor answers a question of another node. If this node is not the first that counts the
 // limit, it asks that one, whom the other node may not have reached.
-func (l *Limiter) countFor(ask Ask, answer func(Answer)) {
+func (l *Limiter) countFor(ask TakeRequest, answer func(TakeReply)) {
 	limit, known := l.limitOf(ask)
 	if !known {
 		// This node's configuration is older or newer than the other's, for the short time
 		// that a change takes; the other node knows the limit.
 		// Without a process, since nothing was counted that could be given back.
-		answer(Answer{Within: true, CountedBy: l.config.Address})
+		answer(TakeReply{Within: true, CountedBy: l.config.Address})
 		return
 	}
 	ranked := l.counters.ranked(ask.Tenant)
@@ -152,7 +152,7 @@
 	relayed := ask
 	relayed.Relayed = true
 	l.config.Transport.Call(ranked[0], relayed, askTimeout/2, func(message peer.Message, err error) {
-		if counted, isAnswer := message.(Answer); err == nil && isAnswer {
+		if counted, isAnswer := message.(TakeReply); err == nil && isAnswer {
 			answer(counted)
 			return
 		}
@@ -164,18 +164,18 @@
 // Return gives back what was taken for a request that has not run, unless so much
 // time has passed that the limit's window is over.
 func (l *Limiter) Return(request Request, verdict Verdict) {
-	if !verdict.Within || verdict.CountedBy == "" || time.Since(verdict.takenAt) > request.Limit.Window {
+	if !verdict.Allowed || verdict.CountedBy == "" || time.Since(verdict.takenAt) > request.Limit.Window {
 		return
 	}
 	if verdict.CountedBy == l.config.Address {
 		l.keeper.giveBack(request.Name, request.Cost, time.Now())
 		return
 	}
-	l.config.Transport.Send(verdict.CountedBy, GiveBack{Tenant: request.Name, Cost: request.Cost, Process: verdict.process})
+	l.config.Transport.Send(verdict.CountedBy, ReturnMessage{Tenant: request.Name, Cost: request.Cost, Process: verdict.process})
 }
 
 func (l *Limiter) serveGiveBack(_ string, message peer.Message, reply func(peer.Message, error)) {
-	if back := message.(GiveBack); back.Process == l.process {
+	if back := message.(ReturnMessage); back.Process == l.process {
 		l.keeper.giveBack(back.Tenant, back.Cost, time.Now())
 	}
 	reply(nil, nil)
--- a/internal/ratelimit/counters.go
+++ b/internal/ratelimit/counters.go
@@ -36,20 +36,20 @@
 	return ranked
 }
 
-// CountersSize is how many nodes count: enough that none counts much, and few
+// MaxCounters is how many nodes count: enough that none counts much, and few
 // enough that a quorum of them is soon heard and that a node needs few connections.
-const CountersSize = 8
+const MaxCounters = 8
 
-// Choose returns the nodes that count: those of the earlier ones that live, and
+// ChooseCounters returns the nodes that count: those of the earlier ones that live, and
 // others in order of hash, so that all holders choose alike.
-func Choose(earlier, living []string) []string {
+func ChooseCounters(earlier, living []string) []string {
 	var chosen []string
 	for _, address := range earlier {
-		if slices.Contains(living, address) && len(chosen) < CountersSize {
+		if slices.Contains(living, address) && len(chosen) < MaxCounters {
 			chosen = append(chosen, address)
 		}
 	}
-	if len(chosen) < CountersSize {
+	if len(chosen) < MaxCounters {
 		chosen = fill(chosen, living)
 	}
 	slices.Sort(chosen)
@@ -61,7 +61,7 @@
 	others := slices.Clone(living)
 	slices.SortFunc(others, func(a, b string) int { return cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)) })
 	for _, address := range others {
-		if len(chosen) == CountersSize {
+		if len(chosen) == MaxCounters {
 			break
 		}
 		if !slices.Contains(chosen, address) {
--- a/internal/ratelimit/heard.go
+++ b/internal/ratelimit/heard.go
@@ -32,7 +32,7 @@
 
 func newHeard() *heard { return &heard{byName: map[string]heardCount{}} }
 
-func (h *heard) set(name string, answer Answer, now time.Time) {
+func (h *heard) set(name string, answer TakeReply, now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.byName[name] = heardCount{left: answer.Left, at: now, from: answer.CountedBy}
--- a/internal/ratelimit/keeper.go
+++ b/internal/ratelimit/keeper.go
@@ -18,7 +18,7 @@
 func newKeeper() *keeper { return &keeper{started: time.Now(), accounts: map[string]*account{}} }
 
 // take counts what is asked for.
-func (k *keeper) take(limit Limit, ask Ask, now time.Time) (verdict Verdict, left Count) {
+func (k *keeper) take(limit Limit, ask TakeRequest, now time.Time) (verdict Verdict, left Count) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	found := k.accounts[ask.Tenant]
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -41,14 +41,14 @@
 
 // Verdict says whether a request is within its limit.
 type Verdict struct {
-	Within bool
-	// In is the time until it may be used, if it is within.
-	In time.Duration
-	// RoomIn is the time until there is room for this request, if it is not within: others
+	Allowed bool
+	// Delay is the time until it may be used, if it is within.
+	Delay time.Duration
+	// RetryAfter is the time until there is room for this request, if it is not within: others
 	// were told that they come before.
-	RoomIn time.Duration
-	// NextIn is the time until there is room for any request, if it is not within.
-	NextIn time.Duration
+	RetryAfter time.Duration
+	// NextSlotIn is the time until there is room for any request, if it is not within.
+	NextSlotIn time.Duration
 	// CountedBy is the address of the node that counted for all; empty if this node
 	// had to decide alone.
 	CountedBy string
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -38,9 +38,9 @@
 
 // Config configures a Limiter.
 type Config struct {
-	// Known returns the limit that this node's configuration has under a name; nil: none.
-	Known     func(name string) (Limit, bool)
-	Transport peer.Transport
+	// ConfiguredLimit returns the limit that this node's configuration has under a name; nil: none.
+	ConfiguredLimit func(name string) (Limit, bool)
+	Transport       peer.Transport
 	// Address of this node, as others are told.
 	Address string
 	// InUse reports whether there is anything to limit; nil: always. Without that the nodes
@@ -75,8 +75,8 @@
 
 // New returns a limiter and registers its messages with the transport.
 func New(config Config) *Limiter {
-	if config.Known == nil {
-		config.Known = func(string) (Limit, bool) { return Limit{}, false }
+	if config.ConfiguredLimit == nil {
+		config.ConfiguredLimit = func(string) (Limit, bool) { return Limit{}, false }
 	}
 	if config.InUse == nil {
 		config.InUse = func() bool { return true }
@@ -85,8 +85,8 @@
 		config: config, process: time.Now().UnixNano(), keeper: newKeeper(), alone: newAlone(), heard: newHeard(), silent: map[string]bool{},
 		heardAt: map[string]time.Time{}, changed: make(chan struct{}, 1),
 	}
-	config.Transport.Handle(Ask{}, limiter.serveAsk)
-	config.Transport.Handle(GiveBack{}, limiter.serveGiveBack)
+	config.Transport.Handle(TakeRequest{}, limiter.serveAsk)
+	config.Transport.Handle(ReturnMessage{}, limiter.serveGiveBack)
 	return limiter
 }
 
@@ -168,11 +168,11 @@
 
 // probe looks whether a node answers.
 func (l *Limiter) probe(address string) {
-	l.config.Transport.Call(address, Ask{Silent: l.isSilent(address)}, askTimeout, func(message peer.Message, err error) {
+	l.config.Transport.Call(address, TakeRequest{Silent: l.isSilent(address)}, askTimeout, func(message peer.Message, err error) {
 		if err != nil {
 			return
 		}
-		if answer, isAnswer := message.(Answer); isAnswer && !answer.Silent {
+		if answer, isAnswer := message.(TakeReply); isAnswer && !answer.Silent {
 			l.noteHeard(address)
 		}
 		l.setSilent(address, false)
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -57,7 +57,7 @@
 				Transport: transport, Address: address, InUse: func() bool { return f.inUse }, Logger: zerolog.Nop(),
 			}))
 		}
-		counters := ratelimit.Counters{Token: 1, Version: 1, Addresses: ratelimit.Choose(nil, f.Addresses())}
+		counters := ratelimit.Counters{Token: 1, Version: 1, Addresses: ratelimit.ChooseCounters(nil, f.Addresses())}
 		for _, limiter := range f.limiters {
 			limiter.SetCounters(counters)
 			limiter.SetNodes(nodes)
@@ -82,7 +82,7 @@
 	verdict := f.limiters[node].Take(context.Background(), ratelimit.Request{
 		Name: "server s", Limit: ratelimit.Limit{Rate: perSecond, Window: 4 * time.Second, Paced: true}, Cost: 1, MaxWait: maxWait,
 	})
-	time.Sleep(verdict.In)
+	time.Sleep(verdict.Delay)
 	return verdict
 }
 
@@ -113,11 +113,11 @@
 			verdict := f.limiters[i%4].Take(context.Background(), ratelimit.Request{
 				Name: "server s", Limit: ratelimit.Limit{Rate: 2, Window: 4 * time.Second, Paced: true}, Cost: 1, MaxWait: 1800 * time.Millisecond,
 			})
-			if verdict.Within {
-				turns = append(turns, time.Since(began)+verdict.In)
+			if verdict.Allowed {
+				turns = append(turns, time.Since(began)+verdict.Delay)
 				continue
 			}
-			Expect(verdict.RoomIn).To(BeNumerically(">", 1800*time.Millisecond))
+			Expect(verdict.RetryAfter).To(BeNumerically(">", 1800*time.Millisecond))
 		}
 		Expect(turns).To(HaveLen(3), "within 1.8 s of 2 a second, after one just now")
 		for i, turn := range turns {
@@ -136,11 +136,11 @@
 			Name: "server s", Limit: ratelimit.Limit{Rate: 1, Window: 4 * time.Second, Paced: true}, Cost: 1, MaxWait: 4 * time.Second,
 		}
 		first := f.limiters[0].Take(context.Background(), request)
-		Expect(first.Within).To(BeTrue())
+		Expect(first.Allowed).To(BeTrue())
 		f.limiters[0].Return(request, first)
 		time.Sleep(10 * time.Millisecond)
 		second := f.limiters[1].Take(context.Background(), request)
-		Expect(second.In).To(BeNumerically("~", first.In, 20*time.Millisecond))
+		Expect(second.Delay).To(BeNumerically("~", first.Delay, 20*time.Millisecond))
 	})
 }
 
@@ -152,7 +152,7 @@
 		given := 0
 		for range 1000 {
 			for node := range f.limiters {
-				if f.paced(node, 1, 0).Within {
+				if f.paced(node, 1, 0).Allowed {
 					given++
 				}
 			}
@@ -169,13 +169,13 @@
 	withFleet(t, 2, func(f *fleet) {
 		f.inUse = true
 		for _, transport := range f.transports {
-			transport.Handle(ratelimit.Ask{}, func(_ string, _ peer.Message, reply func(peer.Message, error)) {
-				reply(ratelimit.Answer{Within: true, CountedBy: "earlier"}, nil)
+			transport.Handle(ratelimit.TakeRequest{}, func(_ string, _ peer.Message, reply func(peer.Message, error)) {
+				reply(ratelimit.TakeReply{Within: true, CountedBy: "earlier"}, nil)
 			})
 		}
 		f.limiters[0].SetCounters(ratelimit.Counters{Token: 2, Version: 1, Addresses: []string{"node-01"}})
 		verdict := f.paced(0, 1, time.Second)
-		Expect(verdict.Within).To(BeFalse())
+		Expect(verdict.Allowed).To(BeFalse())
 		Expect(verdict.CountedBy).To(BeEmpty())
 	})
 }
--- a/internal/ratelimit/messages.go
+++ b/internal/ratelimit/messages.go
@@ -6,8 +6,8 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// Ask takes from a limit at the node that counts it.
-type Ask struct {
+// TakeRequest takes from a limit at the node that counts it.
+type TakeRequest struct {
 	// Tenant is the name of the limit. Nodes that run an earlier build, which counts
 	// tenants only, know the field by this name.
 	Tenant string
@@ -29,8 +29,8 @@
 	Heard Count
 }
 
-// Answer to an Ask.
-type Answer struct {
+// TakeReply to an Ask.
+type TakeReply struct {
 	Within bool
 	// In, RoomIn and NextIn as in Verdict.
 	In, RoomIn, NextIn time.Duration
@@ -43,8 +43,8 @@
 	Left    Count
 }
 
-// GiveBack returns the cost of a request that has not run.
-type GiveBack struct {
+// ReturnMessage returns the cost of a request that has not run.
+type ReturnMessage struct {
 	// Tenant as in Ask.
 	Tenant string
 	Cost   float64
@@ -55,7 +55,7 @@
 
 // The names are those of earlier builds, which run beside this one while nodes are replaced.
 func init() {
-	peer.RegisterAs("tenants.Ask", Ask{})
-	peer.RegisterAs("tenants.Answer", Answer{})
-	peer.RegisterAs("tenants.GiveBack", GiveBack{})
+	peer.RegisterAs("tenants.Ask", TakeRequest{})
+	peer.RegisterAs("tenants.Answer", TakeReply{})
+	peer.RegisterAs("tenants.GiveBack", ReturnMessage{})
 }
--- a/internal/serverlimit/serverlimit.go
+++ b/internal/serverlimit/serverlimit.go
@@ -33,8 +33,8 @@
 	keyPrefix = "server "
 )
 
-// Need is what is asked of a server's limit.
-type Need struct {
+// Request is what is asked of a server's limit.
+type Request struct {
 	// Rank is how urgent it is, from 0, the most urgent, to 1.
 	Rank float64
 	// MaxWait for its turn.
@@ -43,24 +43,24 @@
 
 // Grant is the answer to a need. The zero Grant allows nothing.
 type Grant struct {
-	// Within: something may be sent.
-	Within bool
+	// Allowed: something may be sent.
+	Allowed bool
 	// Limited: the server had named a limit, from which it was taken.
 	Limited bool
-	// In is the time until it may be sent, if it is within.
-	In time.Duration
-	// RoomIn is the time until there is room for it, if it is not within.
-	RoomIn  time.Duration
-	request ratelimit.Request
-	verdict ratelimit.Verdict
+	// Delay is the time until it may be sent, if it is within.
+	Delay time.Duration
+	// RetryAfter is the time until there is room for it, if it is not within.
+	RetryAfter time.Duration
+	request    ratelimit.Request
+	verdict    ratelimit.Verdict
 }
 
-// CountedForAll reports whether the grant was counted for all nodes, and not by this one
+// CountedFleetWide reports whether the grant was counted for all nodes, and not by this one
 // alone.
-func (g Grant) CountedForAll() bool { return g.verdict.CountedBy != "" }
+func (g Grant) CountedFleetWide() bool { return g.verdict.CountedBy != "" }
 
-// Board tells the limits that servers have named.
-type Board interface {
+// LimitSource tells the limits that servers have named.
+type LimitSource interface {
 	Limit(server *fleet.Server) notice.Limit
 }
 
@@ -72,7 +72,7 @@
 
 // Limits are those of all servers, as this node keeps them. It is safe for concurrent use.
 type Limits struct {
-	board   Board
+	board   LimitSource
 	limiter Limiter
 	// counted is called with each grant or refusal at a server with a limit.
 	counted func(grant Grant)
@@ -83,7 +83,7 @@
 }
 
 // New returns limits at which nothing was asked for yet; counted may be nil.
-func New(board Board, limiter Limiter, counted func(grant Grant)) *Limits {
+func New(board LimitSource, limiter Limiter, counted func(grant Grant)) *Limits {
 	if counted == nil {
 		counted = func(Grant) {}
 	}
@@ -91,23 +91,23 @@
 }
 
 // Take asks for one sending to a server.
-func (l *Limits) Take(ctx context.Context, server *fleet.Server, need Need) Grant {
+func (l *Limits) Take(ctx context.Context, server *fleet.Server, need Request) Grant {
 	limit := l.board.Limit(server)
 	if !limit.Named {
-		return Grant{Within: true}
+		return Grant{Allowed: true}
 	}
 	request := ratelimit.Request{
 		Name: keyPrefix + server.ID, Cost: 1, Rank: need.Rank, MaxWait: min(need.MaxWait, horizon(need.Rank)),
 		Limit: ratelimit.Limit{Rate: max(limit.PerSecond, slowestRate), Window: Window, Paced: true},
 	}
 	verdict := l.limiter.Take(ctx, request)
-	next := verdict.NextIn
-	if verdict.Within && verdict.In > 0 {
-		next = verdict.In + interval(limit)
+	next := verdict.NextSlotIn
+	if verdict.Allowed && verdict.Delay > 0 {
+		next = verdict.Delay + interval(limit)
 	}
 	l.setTurn(server.ID, time.Now().Add(next))
 	grant := Grant{
-		Within: verdict.Within, Limited: true, In: verdict.In, RoomIn: verdict.RoomIn, request: request, verdict: verdict,
+		Allowed: verdict.Allowed, Limited: true, Delay: verdict.Delay, RetryAfter: verdict.RetryAfter, request: request, verdict: verdict,
 	}
 	l.counted(grant)
 	return grant
@@ -120,7 +120,7 @@
 
 // Return gives back a grant for something that was not sent.
 func (l *Limits) Return(grant Grant) {
-	if grant.Within && grant.Limited {
+	if grant.Allowed && grant.Limited {
 		l.limiter.Return(grant.request, grant.verdict)
 	}
 }
@@ -158,8 +158,8 @@
 	l.turnAt[id] = at
 }
 
-// Tidy forgets what is past. It is called now and then.
-func (l *Limits) Tidy(now time.Time) {
+// Prune forgets what is past. It is called now and then.
+func (l *Limits) Prune(now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	maps.DeleteFunc(l.turnAt, func(_ string, at time.Time) bool { return now.After(at) })
--- a/internal/tenants/benchmark_test.go
+++ b/internal/tenants/benchmark_test.go
@@ -30,6 +30,6 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		tenant, _ := directory.ByKey(auth.DigestOf("second-key-17"))
-		quota.Take(context.Background(), tenant, tenants.Need{Tokens: testCost})
+		quota.Take(context.Background(), tenant, tenants.Request{Tokens: testCost})
 	}
 }
--- a/internal/tenants/directory.go
+++ b/internal/tenants/directory.go
@@ -26,8 +26,8 @@
 	Burst float64
 	// InTokens: the unit is the token, not the request.
 	InTokens bool
-	// PlainTokens is what a request counts that tells no tokens.
-	PlainTokens int
+	// DefaultTokens is what a request counts that tells no tokens.
+	DefaultTokens int
 }
 
 // Cost of a request that tells this many tokens, or none.
@@ -38,7 +38,7 @@
 	case tokens > 0:
 		return float64(tokens)
 	}
-	return float64(l.PlainTokens)
+	return float64(l.DefaultTokens)
 }
 
 // Directory finds tenants by key and by name. It is immutable and safe for
--- a/internal/tenants/directory_test.go
+++ b/internal/tenants/directory_test.go
@@ -43,7 +43,7 @@
 func TestCostOfARequest(t *testing.T) {
 	g := NewWithT(t)
 	requests := tenants.Limit{Rate: 10}
-	tokens := tenants.Limit{Rate: 10, InTokens: true, PlainTokens: 200}
+	tokens := tenants.Limit{Rate: 10, InTokens: true, DefaultTokens: 200}
 	g.Expect(requests.Cost(9000)).To(Equal(1.0))
 	g.Expect(tokens.Cost(9000)).To(Equal(9000.0))
 	g.Expect(tokens.Cost(0)).To(Equal(200.0))
--- a/internal/tenants/fakes_test.go
+++ b/internal/tenants/fakes_test.go
@@ -49,14 +49,14 @@
 func counted(nodes int, limit tenants.Limit) (*network, *tenants.Directory) {
 	directory := directoryOf(limit)
 	fleet := fleetOf(nodes, func() *tenants.Directory { return directory })
-	fleet.tell(ratelimit.Counters{Token: 1, Version: 1, Addresses: ratelimit.Choose(nil, fleet.Addresses())})
+	fleet.tell(ratelimit.Counters{Token: 1, Version: 1, Addresses: ratelimit.ChooseCounters(nil, fleet.Addresses())})
 	return fleet, directory
 }
 
 // start makes the node's quota anew, as after a restart.
 func (n *testNode) start(directory func() *tenants.Directory) {
 	n.limiter = ratelimit.New(ratelimit.Config{
-		Known: tenants.LimitsOf(directory, testWindow), Transport: n.Node, Address: n.address, Logger: zerolog.Nop(),
+		ConfiguredLimit: tenants.LimitsByName(directory, testWindow), Transport: n.Node, Address: n.address, Logger: zerolog.Nop(),
 	})
 	n.quota = &tenants.Quota{Limiter: n.limiter, Window: testWindow}
 }
--- a/internal/tenants/quota.go
+++ b/internal/tenants/quota.go
@@ -13,12 +13,12 @@
 	Limiter *ratelimit.Limiter
 	// Window over which a tenant's requests are summed.
 	Window time.Duration
-	// Counted is called with each verdict; nil: not called.
-	Counted func(tenant string, verdict ratelimit.Verdict)
+	// OnVerdict is called with each verdict; nil: not called.
+	OnVerdict func(tenant string, verdict ratelimit.Verdict)
 }
 
-// Need is what a request takes of its tenant's limit.
-type Need struct {
+// Request is what a request takes of its tenant's limit.
+type Request struct {
 	// Tokens of the request; zero if it tells none.
 	Tokens int
 	// Rank among the tenant's requests, from 0, the most urgent, to 1.
@@ -26,23 +26,23 @@
 }
 
 // Take asks whether a request is within its tenant's limit, and counts it if it is.
-func (q *Quota) Take(ctx context.Context, tenant *Tenant, need Need) ratelimit.Verdict {
+func (q *Quota) Take(ctx context.Context, tenant *Tenant, need Request) ratelimit.Verdict {
 	if tenant.Limit.Rate <= 0 {
-		return ratelimit.Verdict{Within: true}
+		return ratelimit.Verdict{Allowed: true}
 	}
 	verdict := q.Limiter.Take(ctx, q.request(tenant, need))
-	if q.Counted != nil {
-		q.Counted(tenant.Name, verdict)
+	if q.OnVerdict != nil {
+		q.OnVerdict(tenant.Name, verdict)
 	}
 	return verdict
 }
 
 // Return gives back what was taken for a request that has not run.
-func (q *Quota) Return(tenant *Tenant, need Need, verdict ratelimit.Verdict) {
+func (q *Quota) Return(tenant *Tenant, need Request, verdict ratelimit.Verdict) {
 	q.Limiter.Return(q.request(tenant, need), verdict)
 }
 
-func (q *Quota) request(tenant *Tenant, need Need) ratelimit.Request {
+func (q *Quota) request(tenant *Tenant, need Request) ratelimit.Request {
 	return ratelimit.Request{
 		Name: tenant.Name, Limit: tenant.Limit.over(q.Window), Cost: tenant.Limit.Cost(need.Tokens), Rank: need.Rank,
 	}
@@ -53,9 +53,9 @@
 	return ratelimit.Limit{Rate: l.Rate, Burst: l.Burst, Window: window}
 }
 
-// LimitsOf returns the limits of a directory's tenants by name, for a Limiter; directory
+// LimitsByName returns the limits of a directory's tenants by name, for a Limiter; directory
 // may return nil.
-func LimitsOf(directory func() *Directory, window time.Duration) func(name string) (ratelimit.Limit, bool) {
+func LimitsByName(directory func() *Directory, window time.Duration) func(name string) (ratelimit.Limit, bool) {
 	return func(name string) (ratelimit.Limit, bool) {
 		known := directory()
 		if known == nil {
--- a/internal/tenants/quota_test.go
+++ b/internal/tenants/quota_test.go
@@ -25,7 +25,7 @@
 	testCost = 9_190
 )
 
-var tokenLimit = tenants.Limit{Rate: testRate, Burst: testBurst, InTokens: true, PlainTokens: 200}
+var tokenLimit = tenants.Limit{Rate: testRate, Burst: testBurst, InTokens: true, DefaultTokens: 200}
 
 // allowed in a window by the limit alone, and with what the users tolerate.
 const (
@@ -42,7 +42,7 @@
 	for number := 0; time.Now().Before(end); number++ {
 		node := fleet.nodes[addresses[number*7%len(addresses)]]
 		go func() {
-			if node.quota.Take(context.Background(), north(directory), tenants.Need{Tokens: testCost}).Within {
+			if node.quota.Take(context.Background(), north(directory), tenants.Request{Tokens: testCost}).Allowed {
 				seen.add(testCost, time.Now())
 			}
 		}()
@@ -73,18 +73,18 @@
 		g := NewWithT(t)
 		directory := directoryOf(tokenLimit)
 		fleet := fleetOf(30, func() *tenants.Directory { return directory })
-		counters := ratelimit.Counters{Token: 1, Version: 1, Addresses: ratelimit.Choose(nil, fleet.Addresses())}
+		counters := ratelimit.Counters{Token: 1, Version: 1, Addresses: ratelimit.ChooseCounters(nil, fleet.Addresses())}
 		fleet.tell(counters)
 		stop := fleet.run(t)
 		seen := &grants{}
-		first := fleet.nodes["node-00"].quota.Take(t.Context(), north(directory), tenants.Need{Tokens: testCost}).CountedBy
+		first := fleet.nodes["node-00"].quota.Take(t.Context(), north(directory), tenants.Request{Tokens: testCost}).CountedBy
 		press(fleet, directory, 15*time.Millisecond, 10*time.Second, seen)
 		fleet.SetCut(first, true)
 		press(fleet, directory, 15*time.Millisecond, 3*time.Second, seen)
 		second := ""
 		for address, node := range fleet.nodes {
 			if address != first {
-				second = node.quota.Take(t.Context(), north(directory), tenants.Need{Tokens: testCost}).CountedBy
+				second = node.quota.Take(t.Context(), north(directory), tenants.Request{Tokens: testCost}).CountedBy
 			}
 		}
 		g.Expect(second).NotTo(BeElementOf("", first))
@@ -106,7 +106,7 @@
 		g := NewWithT(t)
 		fleet, directory := counted(30, tokenLimit)
 		defer fleet.run(t)()
-		first := fleet.nodes["node-00"].quota.Take(t.Context(), north(directory), tenants.Need{Tokens: testCost}).CountedBy
+		first := fleet.nodes["node-00"].quota.Take(t.Context(), north(directory), tenants.Request{Tokens: testCost}).CountedBy
 		seen := &grants{}
 		press(fleet, directory, 92*time.Millisecond, 10*time.Second, seen)
 		fleet.SetCut(first, true)
@@ -123,12 +123,12 @@
 		g := NewWithT(t)
 		directory := directoryOf(tokenLimit)
 		fleet := fleetOf(30, func() *tenants.Directory { return directory })
-		counters := ratelimit.Counters{Token: 1, Version: 1, Addresses: ratelimit.Choose(nil, fleet.Addresses())}
+		counters := ratelimit.Counters{Token: 1, Version: 1, Addresses: ratelimit.ChooseCounters(nil, fleet.Addresses())}
 		fleet.tell(counters)
 		defer fleet.run(t)()
 		seen := &grants{}
 		press(fleet, directory, 15*time.Millisecond, 10*time.Second, seen)
-		first := fleet.nodes["node-00"].quota.Take(t.Context(), north(directory), tenants.Need{Tokens: testCost}).CountedBy
+		first := fleet.nodes["node-00"].quota.Take(t.Context(), north(directory), tenants.Request{Tokens: testCost}).CountedBy
 		fleet.SetPart(first, 1)
 		others := slices.DeleteFunc(fleet.Addresses(), func(address string) bool { return slices.Contains(counters.Addresses, address) })
 		slices.Sort(others)
@@ -151,7 +151,7 @@
 		for _, node := range fleet.nodes {
 			node.limiter.SetNodes(len(fleet.nodes))
 		}
-		counters := ratelimit.Counters{Token: 1, Version: 1, Addresses: ratelimit.Choose(nil, fleet.Addresses())}
+		counters := ratelimit.Counters{Token: 1, Version: 1, Addresses: ratelimit.ChooseCounters(nil, fleet.Addresses())}
 		fleet.tell(counters)
 		defer fleet.run(t)()
 		press(fleet, directory, 15*time.Millisecond, 10*time.Second, &grants{})
@@ -160,7 +160,7 @@
 		fleet.SetCut(others[0], true)
 		within := 0
 		for range 70 {
-			if fleet.nodes[others[0]].quota.Take(t.Context(), north(directory), tenants.Need{Tokens: testCost}).Within {
+			if fleet.nodes[others[0]].quota.Take(t.Context(), north(directory), tenants.Request{Tokens: testCost}).Allowed {
 				within++
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -194,13 +194,13 @@
 		defer fleet.run(t)()
 		quota := fleet.nodes["node-00"].quota
 		within := map[string]int{}
-		kinds := map[string]tenants.Need{
+		kinds := map[string]tenants.Request{
 			"urgent": {Tokens: testCost}, "not urgent": {Tokens: testCost, Rank: 1}, "small": {Tokens: 200, Rank: 1},
 		}
 		const rounds = 600
 		for range rounds {
 			for kind, need := range kinds {
-				if quota.Take(t.Context(), north(directory), need).Within {
+				if quota.Take(t.Context(), north(directory), need).Allowed {
 					within[kind]++
 				}
 			}
@@ -222,9 +222,9 @@
 		defer fleet.run(t)()
 		for _, node := range fleet.nodes {
 			for range 3 {
-				verdict := node.quota.Take(t.Context(), north(directory), tenants.Need{})
-				g.Expect(verdict.Within).To(BeTrue())
-				node.quota.Return(north(directory), tenants.Need{}, verdict)
+				verdict := node.quota.Take(t.Context(), north(directory), tenants.Request{})
+				g.Expect(verdict.Allowed).To(BeTrue())
+				node.quota.Return(north(directory), tenants.Request{}, verdict)
 				time.Sleep(10 * time.Millisecond)
 			}
 		}
@@ -239,25 +239,25 @@
 		fleet, directory := counted(3, limit)
 		defer fleet.run(t)()
 		quota := fleet.nodes["node-00"].quota
-		take := func() ratelimit.Verdict { return quota.Take(t.Context(), north(directory), tenants.Need{}) }
+		take := func() ratelimit.Verdict { return quota.Take(t.Context(), north(directory), tenants.Request{}) }
 		for range 16 {
-			g.Expect(take().Within).To(BeTrue())
+			g.Expect(take().Allowed).To(BeTrue())
 			time.Sleep(500 * time.Millisecond)
 		}
 		began := time.Now()
 		last := time.Duration(-1)
 		for range 4 {
 			refused := take()
-			if refused.Within {
+			if refused.Allowed {
 				continue
 			}
-			back := time.Since(began) + refused.RoomIn
+			back := time.Since(began) + refused.RetryAfter
 			g.Expect(back).To(BeNumerically(">", last))
 			last = back
 		}
 		g.Expect(last).To(BeNumerically(">", time.Second))
 		time.Sleep(last)
-		g.Expect(take().Within).To(BeTrue())
+		g.Expect(take().Allowed).To(BeTrue())
 	})
 }
 
@@ -269,7 +269,7 @@
 		directory := directoryOf(tokenLimit)
 		known := func() *tenants.Directory { return directory }
 		fleet := fleetOf(20, known)
-		counters := ratelimit.Counters{Token: 1, Version: 1, Addresses: ratelimit.Choose(nil, fleet.Addresses())}
+		counters := ratelimit.Counters{Token: 1, Version: 1, Addresses: ratelimit.ChooseCounters(nil, fleet.Addresses())}
 		fleet.tell(counters)
 		stop := fleet.run(t)
 		time.Sleep(testWindow)
@@ -301,7 +301,7 @@
 		within := 0
 		const rounds = 50
 		for range rounds {
-			if fleet.nodes["node-00"].quota.Take(t.Context(), north(directory), tenants.Need{Tokens: testCost, Rank: 1}).Within {
+			if fleet.nodes["node-00"].quota.Take(t.Context(), north(directory), tenants.Request{Tokens: testCost, Rank: 1}).Allowed {
 				within++
 			}
 			time.Sleep(90 * time.Millisecond)
@@ -315,7 +315,7 @@
 		g := NewWithT(t)
 		directory := directoryOf(tokenLimit)
 		fleet := fleetOf(20, func() *tenants.Directory { return directory })
-		fleet.tell(ratelimit.Counters{Token: 1, Version: 1, Addresses: ratelimit.Choose(nil, fleet.Addresses())})
+		fleet.tell(ratelimit.Counters{Token: 1, Version: 1, Addresses: ratelimit.ChooseCounters(nil, fleet.Addresses())})
 		defer fleet.run(t)()
 		press(fleet, directory, 15*time.Millisecond, 12*time.Second, &grants{})
 		lower := tokenLimit
@@ -343,7 +343,7 @@
 			directory := directoryOf(tokenLimit)
 			known := func() *tenants.Directory { return directory }
 			fleet := fleetOf(nodes, known)
-			counters := ratelimit.Counters{Token: 1, Version: 1, Addresses: ratelimit.Choose(nil, fleet.Addresses())}
+			counters := ratelimit.Counters{Token: 1, Version: 1, Addresses: ratelimit.ChooseCounters(nil, fleet.Addresses())}
 			fleet.tell(counters)
 			stop := fleet.run(t)
 			seen := &grants{}
@@ -359,7 +359,7 @@
 					fleet.SetCut(address, false)
 				case 3:
 					counters.Version++
-					counters.Addresses = ratelimit.Choose(counters.Addresses, fleet.Living())
+					counters.Addresses = ratelimit.ChooseCounters(counters.Addresses, fleet.Living())
 					fleet.tell(counters)
 				}
 				press(fleet, directory, 15*time.Millisecond, 1500*time.Millisecond, seen)
@@ -381,13 +381,13 @@
 		for i := range rapid.IntRange(1, 40).Draw(t, "nodes") {
 			living = append(living, fmt.Sprint("node-", i))
 		}
-		chosen := ratelimit.Choose(nil, living)
-		if len(chosen) != min(len(living), ratelimit.CountersSize) {
+		chosen := ratelimit.ChooseCounters(nil, living)
+		if len(chosen) != min(len(living), ratelimit.MaxCounters) {
 			t.Fatalf("%d of %d nodes count", len(chosen), len(living))
 		}
 		gone := rapid.SampledFrom(chosen).Draw(t, "gone")
 		rest := slices.DeleteFunc(slices.Clone(living), func(address string) bool { return address == gone })
-		next := ratelimit.Choose(chosen, rest)
+		next := ratelimit.ChooseCounters(chosen, rest)
 		for _, address := range chosen {
 			if address != gone && !slices.Contains(next, address) {
 				t.Fatalf("%s counts no more", address)
@@ -409,11 +409,11 @@
 		directory := directoryOf(tokenLimit)
 		known := func() *tenants.Directory { return directory }
 		fleet := fleetOf(3, known)
-		counters := ratelimit.Counters{Token: 1, Version: 1, Addresses: ratelimit.Choose(nil, fleet.Addresses())}
+		counters := ratelimit.Counters{Token: 1, Version: 1, Addresses: ratelimit.ChooseCounters(nil, fleet.Addresses())}
 		fleet.tell(counters)
 		stop := fleet.run(t)
 		take := func(node string) ratelimit.Verdict {
-			return fleet.nodes[node].quota.Take(t.Context(), north(directory), tenants.Need{Tokens: testCost})
+			return fleet.nodes[node].quota.Take(t.Context(), north(directory), tenants.Request{Tokens: testCost})
 		}
 		first := take("node-00").CountedBy
 		asker := slices.DeleteFunc(fleet.Addresses(), func(address string) bool { return address == first })[0]
@@ -425,14 +425,14 @@
 		fleet.nodes[first].start(known)
 		fleet.tell(counters)
 		defer fleet.run(t)()
-		for take(asker).Within {
+		for take(asker).Allowed {
 			// What the new process gives at first is used up.
 		}
 		for _, verdict := range taken {
-			fleet.nodes[asker].quota.Return(north(directory), tenants.Need{Tokens: testCost}, verdict)
+			fleet.nodes[asker].quota.Return(north(directory), tenants.Request{Tokens: testCost}, verdict)
 		}
 		time.Sleep(10 * time.Millisecond)
-		g.Expect(take(asker).Within).To(BeFalse())
+		g.Expect(take(asker).Allowed).To(BeFalse())
 	})
 }
 
@@ -449,7 +449,7 @@
 		defer fleet.run(t)()
 		seen := &grants{}
 		press(fleet, directory, 15*time.Millisecond, 10*time.Second, seen)
-		first := fleet.nodes["node-00"].quota.Take(t.Context(), north(directory), tenants.Need{Tokens: testCost}).CountedBy
+		first := fleet.nodes["node-00"].quota.Take(t.Context(), north(directory), tenants.Request{Tokens: testCost}).CountedBy
 		fleet.SetSlow(first, 60*time.Millisecond)
 		press(fleet, directory, 15*time.Millisecond, 10*time.Second, seen)
 		most, _ := seen.most()
--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -74,8 +74,8 @@
 # Servers' limits.
 switch_off limit-read platform/notices.go 'reported.Limit = parseLimit(text)' '_ = parseLimit(text)' ./platform
 switch_off limit-turn internal/serverlimit/serverlimit.go 'if !limit.Named {
-		return Grant{Within: true}' 'if true {
-		return Grant{Within: true}' ./platform
+		return Grant{Allowed: true}' 'if true {
+		return Grant{Allowed: true}' ./platform
 switch_off limit-by-each-node internal/ratelimit/ask.go 'ranked := l.counters.ranked(request.Name)' 'ranked := []string{l.config.Address}' ./internal/ratelimit ./platform
 switch_off limit-starts-empty internal/ratelimit/account.go 'a.level = 0' 'a.level = 3 * surge(limit)' ./platform ./internal/ratelimit
 switch_off limit-alone-waits internal/ratelimit/alone.go '(near || limit.Paced)' 'near' ./internal/ratelimit
@@ -84,8 +84,8 @@
 switch_off limit-told-without-holder internal/orders/limits.go 'if len(limits) == 0 {' 'if len(limits) >= 0 {' ./platform
 switch_off limit-told-in-replies internal/orders/holder.go 'update.Limits, update.LimitsVersion =' '_, update.LimitsVersion =' ./platform
 switch_off limit-newest-word internal/notice/limits.go 'known.at.After(at) &&' 'false &&' ./internal/notice
-switch_off limit-ended-by-later internal/notice/limits.go 'asked.At.After(e.at)' 'true' ./internal/notice
-switch_off limit-of-orders internal/orders/room.go 'grant := h.config.Limits.Take(ctx, server, serverlimit.Need{MaxWait: serverlimit.Window})' 'grant := serverlimit.Grant{Within: true}' ./platform
+switch_off limit-ended-by-later internal/notice/limits.go 'asked.SentAt.After(e.at)' 'true' ./internal/notice
+switch_off limit-of-orders internal/orders/room.go 'grant := h.config.Limits.Take(ctx, server, serverlimit.Request{MaxWait: serverlimit.Window})' 'grant := serverlimit.Grant{Allowed: true}' ./platform
 switch_off limit-given-back internal/forward/attempt.go 'f.limits.Return(target.grant)' '_ = target.grant' ./internal/forward
 switch_off limit-after-choice internal/forward/attempt.go '|| f.newlyLimited(target)' '' ./internal/forward
 switch_off limit-refused-at-once internal/forward/admission.go 'noSlot := eligible &&' 'noSlot := false && eligible &&' ./internal/forward
