--- a/internal/serverlimit/serverlimit.go
+++ b/internal/serverlimit/serverlimit.go
@@ -1,9 +1,9 @@
-// Package serverlimit keeps what all nodes together send to servers within the limits that
-// these name in their answers.
+// Package serverlimit enforces the request rate limits that servers announce in their
+// responses.
 //
-// A server names its limit to one node at a time, and means all of them: the board of
-// package notice has what this node heard or was told, and package ratelimit counts what
-// all of them send.
+// A server announces its limit in a response to one node, but the limit applies to all nodes
+// together. The registry of package notice holds the limits that this node observed or
+// received from other nodes; package ratelimit counts what all nodes send.
 package serverlimit
 
 import (
@@ -18,48 +18,49 @@
 )
 
 const (
-	// Window over which a server's limit is kept: the one over which the users' platform
-	// compares it. No turn is given further ahead.
+	// Window over which a server's limit is enforced: the one over which the users' platform
+	// checks it. No slot is granted further ahead than that.
 	Window = 4 * time.Second
-	// slowestRate in requests a second. A server that takes less, or nothing, gets one in
-	// 20 s all the same, whose answer tells whether that still holds.
-	slowestRate = 0.05
-	// leastHorizon is the share of a window that the least urgent requests wait at most for
-	// their turn, so that those which come later and are more urgent find an earlier one. With
-	// all alike, 1 of 42 urgent requests was served beside 14 times as many others at a server
-	// that takes 2 a second; so all 42 are (virtual time, 30 s).
-	leastHorizon = 0.1
-	// keyPrefix of the names of servers' limits; tenants have theirs without one.
+	// minRate is the lowest rate in requests a second. A server that accepts less, or nothing,
+	// still gets one request in 20 s, since the response shows whether its limit still holds.
+	minRate = 0.05
+	// minHorizonShare is the share of a window that the least urgent requests wait at most for
+	// their slot, which leaves earlier slots to more urgent requests that arrive later. With
+	// the same horizon for all, 1 of 42 urgent requests was served beside 14 times as many
+	// others at a server that accepts 2 a second; with this one, all 42 were (virtual time,
+	// 30 s).
+	minHorizonShare = 0.1
+	// keyPrefix of the names of servers' limits. Names of tenants' limits have no prefix.
 	keyPrefix = "server "
 )
 
-// Request is what is asked of a server's limit.
+// Request asks whether something may be sent to a server.
 type Request struct {
-	// Rank is how urgent it is, from 0, the most urgent, to 1.
+	// Rank is the urgency, from 0 (most urgent) to 1.
 	Rank float64
-	// MaxWait for its turn.
+	// MaxWait is how long the caller would wait for its slot.
 	MaxWait time.Duration
 }
 
-// Grant is the answer to a need. The zero Grant allows nothing.
+// Grant is the result of a Request. The zero Grant allows nothing.
 type Grant struct {
-	// Allowed: something may be sent.
+	// Allowed reports whether the request may be sent.
 	Allowed bool
-	// Limited: the server had named a limit, from which it was taken.
+	// Limited reports whether the server has a limit, against which the request was counted.
 	Limited bool
-	// Delay is the time until it may be sent, if it is within.
+	// Delay is the time until the request may be sent, if it is allowed.
 	Delay time.Duration
-	// RetryAfter is the time until there is room for it, if it is not within.
+	// RetryAfter is the time until the limit has capacity for the request, if it is refused.
 	RetryAfter time.Duration
 	request    ratelimit.Request
 	verdict    ratelimit.Verdict
 }
 
-// CountedFleetWide reports whether the grant was counted for all nodes, and not by this one
-// alone.
+// CountedFleetWide reports whether the grant was counted for all nodes, and not by this node
+// only.
 func (g Grant) CountedFleetWide() bool { return g.verdict.CountedBy != "" }
 
-// LimitSource tells the limits that servers have named.
+// LimitSource returns the limits that servers have announced.
 type LimitSource interface {
 	Limit(server *fleet.Server) notice.Limit
 }
@@ -70,52 +71,52 @@
 	Return(request ratelimit.Request, verdict ratelimit.Verdict)
 }
 
-// Limits are those of all servers, as this node keeps them. It is safe for concurrent use.
+// Limits enforces the limits of all servers at this node. It is safe for concurrent use.
 type Limits struct {
-	board   LimitSource
+	source  LimitSource
 	limiter Limiter
-	// counted is called with each grant or refusal at a server with a limit.
-	counted func(grant Grant)
+	// onGrant is called with each grant or refusal at a server with a limit.
+	onGrant func(grant Grant)
 
 	mutex sync.Mutex
-	// turnAt is when each server's next turn is, by ID, as this node last learned.
-	turnAt map[string]time.Time
+	// nextSlotAt is the time of the next free slot by server ID, as of this node's last request.
+	nextSlotAt map[string]time.Time
 }
 
-// New returns limits at which nothing was asked for yet; counted may be nil.
-func New(board LimitSource, limiter Limiter, counted func(grant Grant)) *Limits {
-	if counted == nil {
-		counted = func(Grant) {}
+// New returns Limits without state; onGrant may be nil.
+func New(source LimitSource, limiter Limiter, onGrant func(grant Grant)) *Limits {
+	if onGrant == nil {
+		onGrant = func(Grant) {}
 	}
-	return &Limits{board: board, limiter: limiter, counted: counted, turnAt: map[string]time.Time{}}
+	return &Limits{source: source, limiter: limiter, onGrant: onGrant, nextSlotAt: map[string]time.Time{}}
 }
 
-// Take asks for one sending to a server.
+// Take asks whether one request may be sent to a server, and counts it if it may.
 func (l *Limits) Take(ctx context.Context, server *fleet.Server, need Request) Grant {
-	limit := l.board.Limit(server)
+	limit := l.source.Limit(server)
 	if !limit.Named {
 		return Grant{Allowed: true}
 	}
 	request := ratelimit.Request{
 		Name: keyPrefix + server.ID, Cost: 1, Rank: need.Rank, MaxWait: min(need.MaxWait, horizon(need.Rank)),
-		Limit: ratelimit.Limit{Rate: max(limit.PerSecond, slowestRate), Window: Window, Paced: true},
+		Limit: ratelimit.Limit{Rate: max(limit.PerSecond, minRate), Window: Window, Paced: true},
 	}
 	verdict := l.limiter.Take(ctx, request)
 	next := verdict.NextSlotIn
 	if verdict.Allowed && verdict.Delay > 0 {
 		next = verdict.Delay + interval(limit)
 	}
-	l.setTurn(server.ID, time.Now().Add(next))
+	l.setNextSlot(server.ID, time.Now().Add(next))
 	grant := Grant{
 		Allowed: verdict.Allowed, Limited: true, Delay: verdict.Delay, RetryAfter: verdict.RetryAfter, request: request, verdict: verdict,
 	}
-	l.counted(grant)
+	l.onGrant(grant)
 	return grant
 }
 
-// horizon is how far ahead a request of the rank may be given its turn.
+// horizon is how far ahead a request of the rank may be granted a slot.
 func horizon(rank float64) time.Duration {
-	return time.Duration((1 - (1-leastHorizon)*rank) * float64(Window))
+	return time.Duration((1 - (1-minHorizonShare)*rank) * float64(Window))
 }
 
 // Return gives back a grant for something that was not sent.
@@ -125,12 +126,13 @@
 	}
 }
 
-// Limited reports whether a server has named a limit.
-func (l *Limits) Limited(server *fleet.Server) bool { return l.board.Limit(server).Named }
+// Limited reports whether a server has announced a limit.
+func (l *Limits) Limited(server *fleet.Server) bool { return l.source.Limit(server).Named }
 
-// Interval between sendings that a server's limit allows on average; zero without a limit.
+// Interval returns the average time between requests that a server's limit allows; zero
+// without a limit.
 func (l *Limits) Interval(server *fleet.Server) time.Duration {
-	limit := l.board.Limit(server)
+	limit := l.source.Limit(server)
 	if !limit.Named {
 		return 0
 	}
@@ -138,29 +140,29 @@
 }
 
 func interval(limit notice.Limit) time.Duration {
-	return time.Duration(float64(time.Second) / max(limit.PerSecond, slowestRate))
+	return time.Duration(float64(time.Second) / max(limit.PerSecond, minRate))
 }
 
-// NextSlotIn is the time until the next turn at a server, as far as this node knows without
-// asking; zero: it may be now, or the server has no limit.
+// NextSlotIn returns the time until the next free slot at a server, as of this node's last
+// request; zero if the slot is free now or the server has no limit.
 func (l *Limits) NextSlotIn(server *fleet.Server, now time.Time) time.Duration {
 	if !l.Limited(server) {
 		return 0
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return max(l.turnAt[server.ID].Sub(now), 0)
+	return max(l.nextSlotAt[server.ID].Sub(now), 0)
 }
 
-func (l *Limits) setTurn(id string, at time.Time) {
+func (l *Limits) setNextSlot(id string, at time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.turnAt[id] = at
+	l.nextSlotAt[id] = at
 }
 
-// Prune forgets what is past. It is called now and then.
+// Prune drops slots that have passed. It is called periodically.
 func (l *Limits) Prune(now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	maps.DeleteFunc(l.turnAt, func(_ string, at time.Time) bool { return now.After(at) })
+	maps.DeleteFunc(l.nextSlotAt, func(_ string, at time.Time) bool { return now.After(at) })
 }
