--- a/internal/notice/limits.go
+++ b/internal/notice/limits.go
@@ -11,43 +11,43 @@
 	"github.com/hatchplank/hatchplank/internal/fleet"
 )
 
-// limitKept is how long the limit of a server that is not listed any more is remembered:
-// its record may come back, as it was, when a store that was away returns.
-const limitKept = 10 * time.Minute
+// unlistedLimitTTL is how long the limit of a server that is no longer listed is kept: the
+// server's record may reappear unchanged when an unavailable store recovers.
+const unlistedLimitTTL = 10 * time.Minute
 
-// endKept is how long it is remembered that a server names no limit any more: longer than
-// any older word of it is on its way.
-const endKept = time.Minute
+// liftedLimitTTL is how long the entry of a server that no longer announces a limit is kept:
+// longer than an older report of its limit can be in transit.
+const liftedLimitTTL = time.Minute
 
-// limitBook holds the limits of servers, by ID, also those that are over: what was heard
-// last counts, wherever it was.
-type limitBook struct {
+// limitTable holds the limits of servers by ID, including lifted ones. The most recently
+// observed state wins, whichever node observed it.
+type limitTable struct {
 	entries map[string]limitEntry
-	// version grows with each change.
+	// version increases with each change.
 	version uint64
 }
 
-// limitEntry is what is known of the limit of a server's life.
+// limitEntry is the limit of one incarnation of a server.
 type limitEntry struct {
-	life  fleet.Incarnation
-	limit Limit
-	// at is when it was heard, by this node or another one.
-	at time.Time
-	// version of the book at which it changed.
+	incarnation fleet.Incarnation
+	limit       Limit
+	// observedAt is when this or another node observed it.
+	observedAt time.Time
+	// version of the table at which the entry changed.
 	version uint64
-	// own: this node heard it itself.
-	own bool
+	// local reports whether this node observed it.
+	local bool
 }
 
-// ObservedLimit is a server's limit, or that it names none, as one node tells others.
+// ObservedLimit is a server's limit, or the absence of one, as nodes report it to each other.
 type ObservedLimit struct {
 	Life  fleet.Incarnation
 	Limit Limit
-	// Age of the answer that said it.
+	// Age of the response that announced it.
 	Age time.Duration
 }
 
-// perSecond is for logs: 0 without a limit.
+// perSecond returns the limit for log lines: 0 without a limit.
 func (l Limit) perSecond() float64 {
 	if !l.Named {
 		return 0
@@ -55,191 +55,196 @@
 	return l.PerSecond
 }
 
-// hear takes over what an answer says of its server's limit, and reports whether that
-// changed what is known.
-func (l *limitBook) hear(life fleet.Incarnation, limit Limit, asked Call, now time.Time) bool {
-	known, isKnown := l.entries[life.ID]
+// observe updates a server's limit from a response to a call of this node, and reports
+// whether the entry changed.
+func (l *limitTable) observe(incarnation fleet.Incarnation, limit Limit, call Call, now time.Time) bool {
+	current, exists := l.entries[incarnation.ID]
 	switch {
-	case isKnown && known.life.Follows(life):
-		// A late answer of an earlier life.
+	case exists && current.incarnation.Follows(incarnation):
+		// A late response of an earlier incarnation.
 		return false
-	case !limit.Named && !known.endedBy(life, asked):
+	case !limit.Named && !current.liftedBy(incarnation, call):
 		return false
-	case limit.Named && known.limit.Named && !life.Follows(known.life) && asked.SentAt.Before(known.at):
-		// Both answers were under way at once, and the one that is heard last may be the older.
-		limit.PerSecond = min(limit.PerSecond, known.limit.PerSecond)
+	case limit.Named && current.limit.Named && !incarnation.Follows(current.incarnation) && call.SentAt.Before(current.observedAt):
+		// The calls overlapped, so either response may be the older one.
+		limit.PerSecond = min(limit.PerSecond, current.limit.PerSecond)
 	}
-	return l.set(limitEntry{life: life, limit: limit, at: now, own: true})
+	return l.set(limitEntry{incarnation: incarnation, limit: limit, observedAt: now, local: true})
 }
 
-// tell takes over what another node heard, unless something newer is known. It reports
-// whether that changed what is known.
-func (l *limitBook) tell(heard ObservedLimit, now time.Time) bool {
-	known, isKnown := l.entries[heard.Life.ID]
-	at := now.Add(-heard.Age)
-	if isKnown && (known.life.Follows(heard.Life) || known.at.After(at) && !heard.Life.Follows(known.life)) {
+// merge updates a server's limit from a report of another node unless the current entry is
+// newer, and reports whether the entry changed.
+func (l *limitTable) merge(observed ObservedLimit, now time.Time) bool {
+	current, exists := l.entries[observed.Life.ID]
+	observedAt := now.Add(-observed.Age)
+	if exists && (current.incarnation.Follows(observed.Life) || current.observedAt.After(observedAt) && !observed.Life.Follows(current.incarnation)) {
 		return false
 	}
-	return l.set(limitEntry{life: heard.Life, limit: heard.Limit, at: at})
-}
-
-// set makes an entry the newest, and reports whether it says something new.
-func (l *limitBook) set(entry limitEntry) bool {
-	known, isKnown := l.entries[entry.life.ID]
-	// A birth that one node knows and another does not makes no other life.
-	sameLife := !known.life.Follows(entry.life) && !entry.life.Follows(known.life)
-	if isKnown && known.limit == entry.limit && sameLife {
-		known.at = entry.at
-		l.entries[entry.life.ID] = known
+	return l.set(limitEntry{incarnation: observed.Life, limit: observed.Limit, observedAt: observedAt})
+}
+
+// set stores the entry, and reports whether its limit or incarnation differs from the
+// current one.
+func (l *limitTable) set(entry limitEntry) bool {
+	current, exists := l.entries[entry.incarnation.ID]
+	// A start time that only one of the two states does not make them different incarnations.
+	sameIncarnation := !current.incarnation.Follows(entry.incarnation) && !entry.incarnation.Follows(current.incarnation)
+	if exists && current.limit == entry.limit && sameIncarnation {
+		current.observedAt = entry.observedAt
+		l.entries[entry.incarnation.ID] = current
 		return false
 	}
 	l.version++
 	entry.version = l.version
-	l.entries[entry.life.ID] = entry
+	l.entries[entry.incarnation.ID] = entry
 	return true
 }
 
-// after returns what changed after a version, in order of ID.
-func (l *limitBook) after(version uint64, only func(entry limitEntry) bool, now time.Time) []ObservedLimit {
+// after returns the selected entries that changed after a version, ordered by server ID.
+func (l *limitTable) after(version uint64, selects func(entry limitEntry) bool, now time.Time) []ObservedLimit {
 	var changed []ObservedLimit
 	for _, entry := range l.entries {
-		if entry.version > version && only(entry) {
-			changed = append(changed, ObservedLimit{Life: entry.life, Limit: entry.limit, Age: now.Sub(entry.at)})
+		if entry.version > version && selects(entry) {
+			changed = append(changed, ObservedLimit{Life: entry.incarnation, Limit: entry.limit, Age: now.Sub(entry.observedAt)})
 		}
 	}
 	slices.SortFunc(changed, func(a, b ObservedLimit) int { return strings.Compare(a.Life.ID, b.Life.ID) })
 	return changed
 }
 
-// endedBy reports whether an answer that names no limit ends the one that is known: it is
-// of a later life, or of a request that was sent after the limit was heard, and ran. Servers
-// need not name it where they refuse, or answer orders and questions.
-func (e limitEntry) endedBy(life fleet.Incarnation, asked Call) bool {
+// liftedBy reports whether a response without a limit lifts the current one. It does if it is
+// from a later incarnation, or if the call is a request that was sent after the limit was
+// observed and was started. Servers need not announce the limit in rejections, nor in
+// responses to orders and report calls.
+func (e limitEntry) liftedBy(incarnation fleet.Incarnation, call Call) bool {
 	if !e.limit.Named {
 		return false
 	}
-	return life.Follows(e.life) || asked.Purpose == PurposeRequest && asked.Started && asked.SentAt.After(e.at)
+	return incarnation.Follows(e.incarnation) || call.Purpose == PurposeRequest && call.Started && call.SentAt.After(e.observedAt)
 }
 
-// of returns the limit of a server; the zero limit if none is known.
-func (l *limitBook) of(server *fleet.Server) Limit {
-	known, isKnown := l.entries[server.ID]
-	if !isKnown || server.Incarnation().Follows(known.life) {
+// of returns the limit of a server, or the zero Limit.
+func (l *limitTable) of(server *fleet.Server) Limit {
+	entry, exists := l.entries[server.ID]
+	if !exists || server.Incarnation().Follows(entry.incarnation) {
 		return Limit{}
 	}
-	return known.limit
+	return entry.limit
 }
 
-// tidy forgets servers that have long been gone, and limits that have long been over.
-func (l *limitBook) tidy(listed map[string]*fleet.Server, now time.Time) {
-	maps.DeleteFunc(l.entries, func(id string, known limitEntry) bool {
-		kept := limitKept
-		if !known.limit.Named {
-			kept = endKept
+// prune drops expired entries: of servers that are no longer listed, and of lifted limits.
+func (l *limitTable) prune(listed map[string]*fleet.Server, now time.Time) {
+	maps.DeleteFunc(l.entries, func(id string, entry limitEntry) bool {
+		ttl := unlistedLimitTTL
+		if !entry.limit.Named {
+			ttl = liftedLimitTTL
 		}
-		return now.Sub(known.at) > kept && (listed[id] == nil || !known.limit.Named)
+		return now.Sub(entry.observedAt) > ttl && (listed[id] == nil || !entry.limit.Named)
 	})
 }
 
-// hearLimit notes what an answer says of its server's limit.
-func (b *Registry) hearLimit(server *fleet.Server, limit Limit, asked Call) {
-	b.mutex.RLock()
-	known := b.limits.entries[server.ID].limit
-	b.mutex.RUnlock()
-	if !limit.Named && !known.Named {
+// observeLimit records what a response says about its server's limit.
+func (r *Registry) observeLimit(server *fleet.Server, limit Limit, call Call) {
+	r.mutex.RLock()
+	before := r.limits.entries[server.ID].limit
+	r.mutex.RUnlock()
+	if !limit.Named && !before.Named {
 		return
 	}
-	b.mutex.Lock()
-	changed := b.limits.hear(server.Incarnation(), limit, asked, time.Now())
-	b.mutex.Unlock()
+	r.mutex.Lock()
+	changed := r.limits.observe(server.Incarnation(), limit, call, time.Now())
+	r.mutex.Unlock()
 	if changed {
-		b.signal()
-		if event := b.limiter.Event(&b.config.Logger, zerolog.InfoLevel, "limit"); event != nil {
+		r.signal()
+		if event := r.limiter.Event(&r.config.Logger, zerolog.InfoLevel, "limit"); event != nil {
 			event.Str("server", server.ID).Str("pool", server.Pool).Bool("server_limited", limit.Named).
-				Float64("server_limit", limit.perSecond()).Float64("server_limit_before", known.perSecond()).Msg("server's limit")
+				Float64("server_limit", limit.perSecond()).Float64("server_limit_before", before.perSecond()).Msg("server's limit")
 		}
 	}
 }
 
-// signal wakes who tells other nodes.
-func (b *Registry) signal() {
+// signal wakes the receiver of LimitChanges.
+func (r *Registry) signal() {
 	select {
-	case b.news <- struct{}{}:
+	case r.limitChanges <- struct{}{}:
 	default:
 	}
 }
 
-// LimitChanges receives after this node heard something new of a limit.
-func (b *Registry) LimitChanges() <-chan struct{} { return b.news }
+// LimitChanges returns a channel that receives after this node observed a changed limit.
+func (r *Registry) LimitChanges() <-chan struct{} { return r.limitChanges }
 
-// LocalLimits are what this node itself heard of limits after a version, with the version now.
-func (b *Registry) LocalLimits(after uint64) ([]ObservedLimit, uint64) {
-	return b.limitsAfter(after, func(entry limitEntry) bool { return entry.own })
+// LocalLimits returns the limits that this node observed itself and that changed after a
+// version, and the current version.
+func (r *Registry) LocalLimits(after uint64) ([]ObservedLimit, uint64) {
+	return r.limitsAfter(after, func(entry limitEntry) bool { return entry.local })
 }
 
-// Limits are what this node knows of limits and learned after a version, with the version now.
-func (b *Registry) Limits(after uint64) ([]ObservedLimit, uint64) {
-	return b.limitsAfter(after, func(limitEntry) bool { return true })
+// Limits returns the limits that changed after a version, whichever node observed them, and
+// the current version.
+func (r *Registry) Limits(after uint64) ([]ObservedLimit, uint64) {
+	return r.limitsAfter(after, func(limitEntry) bool { return true })
 }
 
-func (b *Registry) limitsAfter(after uint64, only func(entry limitEntry) bool) ([]ObservedLimit, uint64) {
-	b.mutex.RLock()
-	defer b.mutex.RUnlock()
-	if after >= b.limits.version {
-		return nil, b.limits.version
+func (r *Registry) limitsAfter(after uint64, selects func(entry limitEntry) bool) ([]ObservedLimit, uint64) {
+	r.mutex.RLock()
+	defer r.mutex.RUnlock()
+	if after >= r.limits.version {
+		return nil, r.limits.version
 	}
-	return b.limits.after(after, only, time.Now()), b.limits.version
-}
-
-// MergeLimits takes over what another node heard of limits, and reports whether any of it
-// was new.
-func (b *Registry) MergeLimits(heard []ObservedLimit, from string) bool {
-	anyNew := false
-	for _, one := range heard {
-		b.mutex.Lock()
-		isNew := b.limits.tell(one, time.Now())
-		b.mutex.Unlock()
-		anyNew = anyNew || isNew
-		if !isNew {
+	return r.limits.after(after, selects, time.Now()), r.limits.version
+}
+
+// MergeLimits merges limits that another node reported, and reports whether any entry
+// changed.
+func (r *Registry) MergeLimits(observed []ObservedLimit, from string) bool {
+	anyChanged := false
+	for _, one := range observed {
+		r.mutex.Lock()
+		changed := r.limits.merge(one, time.Now())
+		r.mutex.Unlock()
+		anyChanged = anyChanged || changed
+		if !changed {
 			continue
 		}
-		if event := b.limiter.Event(&b.config.Logger, zerolog.InfoLevel, "limit"); event != nil {
+		if event := r.limiter.Event(&r.config.Logger, zerolog.InfoLevel, "limit"); event != nil {
 			event.Str("server", one.Life.ID).Bool("server_limited", one.Limit.Named).
 				Float64("server_limit", one.Limit.perSecond()).Str("told_by", from).Msg("server's limit")
 		}
 	}
-	return anyNew
+	return anyChanged
 }
 
-// Limit returns what a server takes from all nodes together, as far as this node knows.
-func (b *Registry) Limit(server *fleet.Server) Limit {
-	b.mutex.RLock()
-	defer b.mutex.RUnlock()
-	return b.limits.of(server)
+// Limit returns the limit of a server over all nodes, as far as this node has observed or
+// received it.
+func (r *Registry) Limit(server *fleet.Server) Limit {
+	r.mutex.RLock()
+	defer r.mutex.RUnlock()
+	return r.limits.of(server)
 }
 
-// LimitedServers counts the servers whose limit this node knows.
-func (b *Registry) LimitedServers() int {
-	b.mutex.RLock()
-	defer b.mutex.RUnlock()
+// LimitedServers counts the servers that have a limit.
+func (r *Registry) LimitedServers() int {
+	r.mutex.RLock()
+	defer r.mutex.RUnlock()
 	count := 0
-	for _, known := range b.limits.entries {
-		if known.limit.Named {
+	for _, entry := range r.limits.entries {
+		if entry.limit.Named {
 			count++
 		}
 	}
 	return count
 }
 
-// tellLimited logs and counts what is sent to a server with a limit: the lines of all nodes
-// together are what the server gets.
-func (b *Registry) tellLimited(server *fleet.Server, purpose Purpose) {
-	limit := b.Limit(server)
+// recordLimitedSend logs and counts something that is sent to a server with a limit. The log
+// lines of all nodes together show everything that the server is sent.
+func (r *Registry) recordLimitedSend(server *fleet.Server, purpose Purpose) {
+	limit := r.Limit(server)
 	if !limit.Named {
 		return
 	}
-	b.config.OnLimitedSend(purpose)
-	if event := b.limiter.Event(&b.config.Logger, zerolog.InfoLevel, "limited"); event != nil {
+	r.config.OnLimitedSend(purpose)
+	if event := r.limiter.Event(&r.config.Logger, zerolog.InfoLevel, "limited"); event != nil {
 		event.Str("server", server.ID).Str("purpose", string(purpose)).Float64("server_limit", limit.PerSecond).Msg("sent to a server with a limit")
 	}
 }
--- a/internal/notice/limits_test.go
+++ b/internal/notice/limits_test.go
@@ -10,143 +10,146 @@
 	"github.com/hatchplank/hatchplank/internal/fleet"
 )
 
-// request is something that is sent now.
-func request() Call { return Call{Purpose: PurposeRequest, SentAt: time.Now(), Started: true} }
+// startedRequest is a request that is sent now and that the server starts.
+func startedRequest() Call { return Call{Purpose: PurposeRequest, SentAt: time.Now(), Started: true} }
 
-// of is the limit of so many a second.
-func of(perSecond float64) Limit { return Limit{Named: true, PerSecond: perSecond} }
+// limitOf is a limit in requests a second.
+func limitOf(perSecond float64) Limit { return Limit{Named: true, PerSecond: perSecond} }
 
-func (b *board) says(limit Limit, asked Call) { b.RecordNotice(b.server, Notice{Limit: limit}, asked) }
+func (f *fixture) announce(limit Limit, call Call) {
+	f.RecordNotice(f.server, Notice{Limit: limit}, call)
+}
 
-func TestNewestWordOnALimitCounts(t *testing.T) {
+func TestNewestAnnouncementOfALimitWins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
-		b := newBoard()
-		early := request()
+		f := newFixture()
+		early := startedRequest()
 		time.Sleep(time.Second)
-		b.says(of(2), request())
-		Expect(b.Limit(b.server)).To(Equal(of(2)))
-		Expect(b.LimitedServers()).To(Equal(1))
+		f.announce(limitOf(2), startedRequest())
+		Expect(f.Limit(f.server)).To(Equal(limitOf(2)))
+		Expect(f.LimitedServers()).To(Equal(1))
 		time.Sleep(time.Second)
-		b.says(of(5), request())
-		Expect(b.Limit(b.server)).To(Equal(of(5)))
-		// Answers to what was sent before the word was heard may be the older ones.
-		b.says(Limit{}, early)
-		Expect(b.Limit(b.server)).To(Equal(of(5)))
-		b.says(of(7), early)
-		Expect(b.Limit(b.server)).To(Equal(of(5)))
-		b.says(of(1), early)
-		Expect(b.Limit(b.server)).To(Equal(of(1)))
-		// Refusals, and answers to orders and questions, need not name it.
+		f.announce(limitOf(5), startedRequest())
+		Expect(f.Limit(f.server)).To(Equal(limitOf(5)))
+		// Responses to calls that were sent before the limit was observed may be older than it.
+		f.announce(Limit{}, early)
+		Expect(f.Limit(f.server)).To(Equal(limitOf(5)))
+		f.announce(limitOf(7), early)
+		Expect(f.Limit(f.server)).To(Equal(limitOf(5)))
+		f.announce(limitOf(1), early)
+		Expect(f.Limit(f.server)).To(Equal(limitOf(1)))
+		// Rejections, and responses to orders and report calls, need not announce it.
 		time.Sleep(time.Second)
-		b.says(Limit{}, Call{Purpose: PurposeRequest, SentAt: time.Now()})
-		Expect(b.Limit(b.server)).To(Equal(of(1)))
-		b.says(Limit{}, Call{Purpose: PurposeOrder, SentAt: time.Now()})
-		Expect(b.Limit(b.server)).To(Equal(of(1)))
+		f.announce(Limit{}, Call{Purpose: PurposeRequest, SentAt: time.Now()})
+		Expect(f.Limit(f.server)).To(Equal(limitOf(1)))
+		f.announce(Limit{}, Call{Purpose: PurposeOrder, SentAt: time.Now()})
+		Expect(f.Limit(f.server)).To(Equal(limitOf(1)))
 		time.Sleep(time.Second)
-		b.says(Limit{}, request())
-		Expect(b.Limit(b.server)).To(BeZero())
-		Expect(b.LimitedServers()).To(BeZero())
+		f.announce(Limit{}, startedRequest())
+		Expect(f.Limit(f.server)).To(BeZero())
+		Expect(f.LimitedServers()).To(BeZero())
 	})
 }
 
-// A server that starts again under its ID has named no limit.
-func TestLimitEndsWithItsLife(t *testing.T) {
+// A server that restarts under the same ID has not announced a limit yet.
+func TestLimitEndsWithItsIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
-		b := newBoard()
+		f := newFixture()
 		first, second := &fleet.Server{ID: "s", Born: 5}, &fleet.Server{ID: "s", Born: 6}
-		b.RecordNotice(first, Notice{Limit: of(1)}, request())
-		Expect(b.Limit(first)).To(Equal(of(1)))
-		Expect(b.Limit(second)).To(BeZero())
-		// A record that was passed on without its birth.
-		Expect(b.Limit(b.server)).To(Equal(of(1)))
-		b.RecordNotice(second, Notice{Limit: of(3)}, request())
-		// A late answer of the first life.
-		b.RecordNotice(first, Notice{Limit: of(2)}, request())
-		Expect(b.Limit(second)).To(Equal(of(3)))
-		b.RecordNotice(&fleet.Server{ID: "s", Born: 7}, Notice{}, request())
-		Expect(b.Limit(b.server)).To(BeZero())
+		f.RecordNotice(first, Notice{Limit: limitOf(1)}, startedRequest())
+		Expect(f.Limit(first)).To(Equal(limitOf(1)))
+		Expect(f.Limit(second)).To(BeZero())
+		// A record that was passed on without its start time.
+		Expect(f.Limit(f.server)).To(Equal(limitOf(1)))
+		f.RecordNotice(second, Notice{Limit: limitOf(3)}, startedRequest())
+		// A late response of the first incarnation.
+		f.RecordNotice(first, Notice{Limit: limitOf(2)}, startedRequest())
+		Expect(f.Limit(second)).To(Equal(limitOf(3)))
+		f.RecordNotice(&fleet.Server{ID: "s", Born: 7}, Notice{}, startedRequest())
+		Expect(f.Limit(f.server)).To(BeZero())
 	})
 }
 
-func TestWhatIsSentToAServerWithALimitIsCounted(t *testing.T) {
+func TestSendsToAServerWithALimitAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
-		b := newBoard()
+		f := newFixture()
 		counted := map[Purpose]int{}
-		b.config.OnLimitedSend = func(purpose Purpose) { counted[purpose]++ }
-		b.RecordSend(b.server, PurposeRequest)
-		b.says(of(2.5), request())
-		b.RecordSend(b.server, PurposeRequest)
-		b.RecordSend(b.server, PurposeOrder)
+		f.config.OnLimitedSend = func(purpose Purpose) { counted[purpose]++ }
+		f.RecordSend(f.server, PurposeRequest)
+		f.announce(limitOf(2.5), startedRequest())
+		f.RecordSend(f.server, PurposeRequest)
+		f.RecordSend(f.server, PurposeOrder)
 		Expect(counted).To(Equal(map[Purpose]int{PurposeRequest: 1, PurposeOrder: 1}))
-		Expect(b.output.String()).To(ContainSubstring(`"server_limited":true,"server_limit":2.5,"server_limit_before":0,"message":"server's limit"`))
-		Expect(b.output.String()).To(ContainSubstring(`"purpose":"order","server_limit":2.5,"message":"sent to a server with a limit"`))
+		Expect(f.output.String()).To(ContainSubstring(`"server_limited":true,"server_limit":2.5,"server_limit_before":0,"message":"server's limit"`))
+		Expect(f.output.String()).To(ContainSubstring(`"purpose":"order","server_limit":2.5,"message":"sent to a server with a limit"`))
 	})
 }
 
-// What was heard last counts, wherever it was heard.
-func TestLimitsThatOthersHeard(t *testing.T) {
+// The most recently observed state wins, whichever node observed it.
+func TestLimitsObservedByOtherNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
-		b := newBoard()
-		life := b.server.Incarnation()
+		f := newFixture()
+		incarnation := f.server.Incarnation()
 		time.Sleep(time.Minute)
-		Expect(b.MergeLimits([]ObservedLimit{{Life: life, Limit: of(2), Age: time.Second}}, "x")).To(BeTrue())
-		Expect(b.Limit(b.server)).To(Equal(of(2)))
-		Expect(b.MergeLimits([]ObservedLimit{{Life: life, Limit: of(2)}}, "y")).To(BeFalse(), "nothing new")
-		Expect(b.MergeLimits([]ObservedLimit{{Life: life, Age: 500 * time.Millisecond}}, "x")).To(BeFalse(), "older than the last word")
-		Expect(b.Limit(b.server)).To(Equal(of(2)))
-		Expect(b.MergeLimits([]ObservedLimit{{Life: fleet.Incarnation{ID: "s", Born: 4}, Limit: of(2)}}, "y")).To(BeFalse(), "a birth that is not known here")
+		Expect(f.MergeLimits([]ObservedLimit{{Life: incarnation, Limit: limitOf(2), Age: time.Second}}, "x")).To(BeTrue())
+		Expect(f.Limit(f.server)).To(Equal(limitOf(2)))
+		Expect(f.MergeLimits([]ObservedLimit{{Life: incarnation, Limit: limitOf(2)}}, "y")).To(BeFalse(), "no change")
+		Expect(f.MergeLimits([]ObservedLimit{{Life: incarnation, Age: 500 * time.Millisecond}}, "x")).To(BeFalse(), "older than the last report")
+		Expect(f.Limit(f.server)).To(Equal(limitOf(2)))
+		Expect(f.MergeLimits([]ObservedLimit{{Life: fleet.Incarnation{ID: "s", Born: 4}, Limit: limitOf(2)}}, "y")).To(BeFalse(), "a start time that the local entry lacks")
 		time.Sleep(time.Second)
-		Expect(b.MergeLimits([]ObservedLimit{{Life: life}}, "x")).To(BeTrue())
-		Expect(b.Limit(b.server)).To(BeZero())
-		Expect(b.MergeLimits([]ObservedLimit{{Life: life, Limit: of(2), Age: time.Minute}}, "z")).To(BeFalse(), "a word that was long on its way")
-		Expect(b.MergeLimits([]ObservedLimit{{Life: fleet.Incarnation{ID: "s", Born: 8}, Limit: of(2)}}, "z")).To(BeTrue())
-		Expect(b.MergeLimits([]ObservedLimit{{Life: fleet.Incarnation{ID: "s", Born: 9}, Limit: of(3), Age: time.Minute}}, "z")).To(BeTrue(), "a later life")
+		Expect(f.MergeLimits([]ObservedLimit{{Life: incarnation}}, "x")).To(BeTrue())
+		Expect(f.Limit(f.server)).To(BeZero())
+		Expect(f.MergeLimits([]ObservedLimit{{Life: incarnation, Limit: limitOf(2), Age: time.Minute}}, "z")).To(BeFalse(), "a delayed report")
+		Expect(f.MergeLimits([]ObservedLimit{{Life: fleet.Incarnation{ID: "s", Born: 8}, Limit: limitOf(2)}}, "z")).To(BeTrue())
+		Expect(f.MergeLimits([]ObservedLimit{{Life: fleet.Incarnation{ID: "s", Born: 9}, Limit: limitOf(3), Age: time.Minute}}, "z")).To(BeTrue(), "a later incarnation")
 	})
 }
 
-// Others are told what this node heard itself, once; a node that asks is told all.
-func TestLimitsAreToldOnce(t *testing.T) {
+// A limit that this node observed is reported once after each change; Limits returns all.
+func TestLocalLimitsAreReportedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
-		b := newBoard()
-		b.MergeLimits([]ObservedLimit{{Life: fleet.Incarnation{ID: "other"}, Limit: of(4)}}, "x")
-		b.says(of(2), request())
-		Expect(b.LimitChanges()).To(Receive())
-		own, version := b.LocalLimits(0)
-		Expect(own).To(Equal([]ObservedLimit{{Life: b.server.Incarnation(), Limit: of(2)}}))
+		f := newFixture()
+		f.MergeLimits([]ObservedLimit{{Life: fleet.Incarnation{ID: "other"}, Limit: limitOf(4)}}, "x")
+		f.announce(limitOf(2), startedRequest())
+		Expect(f.LimitChanges()).To(Receive())
+		local, version := f.LocalLimits(0)
+		Expect(local).To(Equal([]ObservedLimit{{Life: f.server.Incarnation(), Limit: limitOf(2)}}))
 		time.Sleep(time.Second)
-		b.says(of(2), request())
-		Expect(b.LimitChanges()).NotTo(Receive())
-		own, _ = b.LocalLimits(version)
-		Expect(own).To(BeEmpty())
-		all, _ := b.Limits(0)
+		f.announce(limitOf(2), startedRequest())
+		Expect(f.LimitChanges()).NotTo(Receive())
+		local, _ = f.LocalLimits(version)
+		Expect(local).To(BeEmpty())
+		all, _ := f.Limits(0)
 		Expect(all).To(HaveLen(2))
-		b.says(Limit{}, Call{Purpose: PurposeRequest, SentAt: time.Now().Add(time.Millisecond), Started: true})
-		own, _ = b.LocalLimits(version)
-		Expect(own).To(HaveLen(1))
-		Expect(own[0].Limit).To(BeZero())
+		f.announce(Limit{}, Call{Purpose: PurposeRequest, SentAt: time.Now().Add(time.Millisecond), Started: true})
+		local, _ = f.LocalLimits(version)
+		Expect(local).To(HaveLen(1))
+		Expect(local[0].Limit).To(BeZero())
 	})
 }
 
-// Limits are kept while their server may come back, and ends as long as older words may come.
-func TestOldLimitsAreForgotten(t *testing.T) {
+// Limits are kept while the record of their server may reappear, and lifted limits as long as
+// older reports may arrive.
+func TestExpiredLimitsAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
-		b := newBoard()
-		b.MergeLimits([]ObservedLimit{
-			{Life: fleet.Incarnation{ID: "gone"}, Limit: of(1)}, {Life: b.server.Incarnation(), Limit: of(1)}, {Life: fleet.Incarnation{ID: "over"}},
+		f := newFixture()
+		f.MergeLimits([]ObservedLimit{
+			{Life: fleet.Incarnation{ID: "gone"}, Limit: limitOf(1)}, {Life: f.server.Incarnation(), Limit: limitOf(1)}, {Life: fleet.Incarnation{ID: "over"}},
 		}, "x")
 		for _, step := range []struct {
 			after time.Duration
 			kept  int
 		}{{30 * time.Second, 3}, {time.Minute, 2}, {10 * time.Minute, 1}} {
 			time.Sleep(step.after)
-			b.Prune(time.Now())
-			Expect(b.limits.entries).To(HaveLen(step.kept))
+			f.Prune(time.Now())
+			Expect(f.limits.entries).To(HaveLen(step.kept))
 		}
 	})
 }
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -1,6 +1,6 @@
-// Package notice keeps what servers tell this node about themselves in their answers:
-// that they leave, that they want no requests for a while, or how many they take from all
-// nodes together. It is newer than what the listing says of them.
+// Package notice records what servers report about themselves in their responses: that they
+// are leaving, that this node must not send to them for a while, or how many requests they
+// accept from all nodes together. Notices are newer than the listed records of the servers.
 package notice
 
 import (
@@ -14,24 +14,25 @@
 	"github.com/hatchplank/hatchplank/internal/logging"
 )
 
-// Notice is what one answer tells of the server that gave it.
+// Notice is what a server reports about itself in one response.
 type Notice struct {
-	// Leaving: the server takes no new work and will end.
+	// Leaving reports that the server accepts no new work and will shut down.
 	Leaving bool
-	// RetryAfter is how long the server wants nothing from this node; zero: it did not say.
+	// RetryAfter is how long this node must not send to the server; zero if not stated.
 	RetryAfter time.Duration
-	// Limit of what the server takes.
+	// Limit on the rate of requests that the server accepts.
 	Limit Limit
-	// Unreadable is a time or limit that could not be read, as it stood; it counts as none.
+	// Unreadable is the text of a time or limit that could not be parsed; it is otherwise
+	// ignored.
 	Unreadable string
-	// Unknown are the names of what the server told of itself that no node reads, so that
-	// a new one shows before it matters.
+	// Unknown are the names of notices that this build does not read. They are recorded so
+	// that a new kind of notice is noticed before it matters.
 	Unknown string
 }
 
-// Limit is what a server takes from all nodes together, as it named it.
+// Limit is the rate of requests that a server accepts from all nodes together.
 type Limit struct {
-	// Named: the server named a limit; without one, PerSecond means nothing.
+	// Named reports whether the server announced a limit; if not, PerSecond has no meaning.
 	Named     bool
 	PerSecond float64
 }
@@ -39,25 +40,26 @@
 // Purpose of something that is sent to a server.
 type Purpose string
 
-// The purposes.
+// The purposes: a client's request, an order of the holder of orders, and a call for the
+// server's report.
 const (
 	PurposeRequest Purpose = "request"
 	PurposeOrder   Purpose = "order"
 	PurposeReport  Purpose = "report"
 )
 
-// Call is what an answer belongs to: it was sent at a time, or just after.
+// Call is what a response answers.
 type Call struct {
 	Purpose Purpose
-	SentAt  time.Time
-	// Started: the server has begun to work on it, as the answer shows.
+	// SentAt is when it was sent, or shortly before.
+	SentAt time.Time
+	// Started reports whether the response shows that the server started to work on it.
 	Started bool
 }
 
-// IsZero reports whether the answer told nothing.
+// IsZero reports whether the response contained no notice.
 func (n Notice) IsZero() bool { return len(n.kinds()) == 0 }
 
-// kinds of the notice.
 func (n Notice) kinds() []Kind {
 	var kinds []Kind
 	if n.Leaving {
@@ -78,7 +80,7 @@
 	return kinds
 }
 
-// Kind of a notice, as it is counted.
+// Kind of a notice, for metrics.
 type Kind string
 
 // The kinds.
@@ -90,43 +92,44 @@
 	KindUnknown    Kind = "unknown"
 )
 
-// linesPerSecond that are logged of each kind.
-const linesPerSecond = 20
+// logLinesPerSecond bounds the log lines of each kind.
+const logLinesPerSecond = 20
 
-// Config of a Board.
+// Config of a Registry.
 type Config struct {
-	// View takes over which servers leave.
+	// View is updated with the servers that are leaving.
 	View *fleet.View
-	// OnNotice is called with each notice that was heard; nil: not called.
+	// OnNotice is called with the kind of each notice; nil: not called.
 	OnNotice func(kind Kind)
-	// OnDisregarded is called with each sending to a server that had told this node not to
-	// send; nil: not called.
+	// OnDisregarded is called for each send to a server despite a notice not to send, with
+	// the kind of that notice; nil: not called.
 	OnDisregarded func(kind Kind)
-	// OnLimitedSend is called with each sending to a server whose limit is known; nil: not called.
+	// OnLimitedSend is called for each send to a server with a limit; nil: not called.
 	OnLimitedSend func(purpose Purpose)
 	Logger        zerolog.Logger
 }
 
-// Registry is what servers have told this node. It is safe for concurrent use.
+// Registry holds the notices of servers in force at this node. It is safe for concurrent use.
 type Registry struct {
 	config  Config
 	limiter *logging.Limiter
 
 	mutex sync.RWMutex
-	// backoffs by the ID of their server.
+	// backoffs by server ID.
 	backoffs map[string]backoff
-	limits   limitBook
-	// news wakes who tells other nodes of limits.
-	news chan struct{}
+	limits   limitTable
+	// limitChanges receives after a local change of a limit, which is to be reported to other
+	// nodes.
+	limitChanges chan struct{}
 }
 
-// backoff is until when a life of a server wants nothing.
+// backoff is the time until which nothing may be sent to an incarnation of a server.
 type backoff struct {
-	life  fleet.Incarnation
-	until time.Time
+	incarnation fleet.Incarnation
+	until       time.Time
 }
 
-// NewRegistry returns a board on which nothing was noted.
+// NewRegistry returns a registry without notices.
 func NewRegistry(config Config) *Registry {
 	if config.OnNotice == nil {
 		config.OnNotice = func(Kind) {}
@@ -137,83 +140,82 @@
 	if config.OnLimitedSend == nil {
 		config.OnLimitedSend = func(Purpose) {}
 	}
-	return &Registry{config: config, limiter: logging.NewLimiter(linesPerSecond), backoffs: map[string]backoff{}, limits: limitBook{entries: map[string]limitEntry{}}, news: make(chan struct{}, 1)}
+	return &Registry{config: config, limiter: logging.NewLimiter(logLinesPerSecond), backoffs: map[string]backoff{}, limits: limitTable{entries: map[string]limitEntry{}}, limitChanges: make(chan struct{}, 1)}
 }
 
-// RecordNotice notes what a server's answer told.
-func (b *Registry) RecordNotice(server *fleet.Server, heard Notice, asked Call) {
-	b.hearLimit(server, heard.Limit, asked)
-	if heard.IsZero() {
+// RecordNotice records the notice in a server's response to a call.
+func (r *Registry) RecordNotice(server *fleet.Server, notice Notice, call Call) {
+	r.observeLimit(server, notice.Limit, call)
+	if notice.IsZero() {
 		return
 	}
-	if heard.Leaving {
-		b.config.View.SetLeaving(server.Incarnation())
+	if notice.Leaving {
+		r.config.View.SetLeaving(server.Incarnation())
 	}
-	if heard.RetryAfter > 0 {
-		b.backOff(server.Incarnation(), time.Now().Add(heard.RetryAfter))
+	if notice.RetryAfter > 0 {
+		r.extendBackoff(server.Incarnation(), time.Now().Add(notice.RetryAfter))
 	}
-	for _, kind := range heard.kinds() {
-		b.config.OnNotice(kind)
+	for _, kind := range notice.kinds() {
+		r.config.OnNotice(kind)
 	}
-	if event := b.limiter.Event(&b.config.Logger, zerolog.InfoLevel, "notice"); event != nil {
-		event.Str("server", server.ID).Str("pool", server.Pool).Bool("server_leaving", heard.Leaving).
-			Dur("server_retry_after_ms", heard.RetryAfter).Float64("server_limit", heard.Limit.perSecond()).Bool("server_limited", heard.Limit.Named).
-			Str("unreadable", heard.Unreadable).Str("unknown", heard.Unknown).Msg("server told of itself")
+	if event := r.limiter.Event(&r.config.Logger, zerolog.InfoLevel, "notice"); event != nil {
+		event.Str("server", server.ID).Str("pool", server.Pool).Bool("server_leaving", notice.Leaving).
+			Dur("server_retry_after_ms", notice.RetryAfter).Float64("server_limit", notice.Limit.perSecond()).Bool("server_limited", notice.Limit.Named).
+			Str("unreadable", notice.Unreadable).Str("unknown", notice.Unknown).Msg("server told of itself")
 	}
 }
 
-// backOff notes until when a server wants nothing. The longest time counts: the answer that
-// asks for a shorter one may be the older. What an earlier life asked for is over.
-func (b *Registry) backOff(life fleet.Incarnation, until time.Time) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	known := b.backoffs[life.ID]
-	if known.life.Follows(life) {
+// extendBackoff records a server's backoff. The latest end wins, since a response with an
+// earlier one may be the older response. Backoffs of an earlier incarnation no longer hold.
+func (r *Registry) extendBackoff(incarnation fleet.Incarnation, until time.Time) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	current := r.backoffs[incarnation.ID]
+	if current.incarnation.Follows(incarnation) {
 		return
 	}
-	if until.After(known.until) || life.Follows(known.life) {
-		b.backoffs[life.ID] = backoff{life: life, until: until}
+	if until.After(current.until) || incarnation.Follows(current.incarnation) {
+		r.backoffs[incarnation.ID] = backoff{incarnation: incarnation, until: until}
 	}
 }
 
-// BackoffUntil is until when a server wants nothing from this node; the zero time if it
-// has not asked for that.
-func (b *Registry) BackoffUntil(server *fleet.Server) time.Time {
-	b.mutex.RLock()
-	defer b.mutex.RUnlock()
-	known, asked := b.backoffs[server.ID]
-	if !asked || server.Incarnation().Follows(known.life) {
+// BackoffUntil returns the time until which this node must not send to a server; the zero
+// time if there is no backoff.
+func (r *Registry) BackoffUntil(server *fleet.Server) time.Time {
+	r.mutex.RLock()
+	defer r.mutex.RUnlock()
+	current, exists := r.backoffs[server.ID]
+	if !exists || server.Incarnation().Follows(current.incarnation) {
 		return time.Time{}
 	}
-	return known.until
+	return current.until
 }
 
-// RecordSend notes that something is sent to a server, and logs and counts it if the server
-// had told this node not to, or has a limit that is known here.
-func (b *Registry) RecordSend(server *fleet.Server, purpose Purpose) {
-	b.tellLimited(server, purpose)
-	listed := b.config.View.Load().Servers[server.ID]
-	leaving, left := listed != nil && listed.ReportedLeaving, time.Until(b.BackoffUntil(server))
+// RecordSend records that something is sent to a server. It is logged and counted if the
+// server is leaving, is in a backoff, or has a limit.
+func (r *Registry) RecordSend(server *fleet.Server, purpose Purpose) {
+	r.recordLimitedSend(server, purpose)
+	listed := r.config.View.Load().Servers[server.ID]
+	leaving, remaining := listed != nil && listed.ReportedLeaving, time.Until(r.BackoffUntil(server))
 	if leaving {
-		b.config.OnDisregarded(KindLeaving)
+		r.config.OnDisregarded(KindLeaving)
 	}
-	if left > 0 {
-		b.config.OnDisregarded(KindRetryAfter)
+	if remaining > 0 {
+		r.config.OnDisregarded(KindRetryAfter)
 	}
-	if !leaving && left <= 0 {
+	if !leaving && remaining <= 0 {
 		return
 	}
-	if event := b.limiter.Event(&b.config.Logger, zerolog.WarnLevel, "despite"); event != nil {
-		event.Str("server", server.ID).Str("purpose", string(purpose)).Bool("server_leaving", leaving).Dur("backoff_left_ms", max(left, 0)).
+	if event := r.limiter.Event(&r.config.Logger, zerolog.WarnLevel, "despite"); event != nil {
+		event.Str("server", server.ID).Str("purpose", string(purpose)).Bool("server_leaving", leaving).Dur("backoff_left_ms", max(remaining, 0)).
 			Msg("sent although the server told not to")
 	}
 }
 
-// Prune forgets the backoffs that are over, and limits of servers that are gone. It is called
-// now and then.
-func (b *Registry) Prune(now time.Time) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	maps.DeleteFunc(b.backoffs, func(_ string, known backoff) bool { return !now.Before(known.until) })
-	b.limits.tidy(b.config.View.Load().Servers, now)
+// Prune drops backoffs that have ended, and expired limits. It is called periodically.
+func (r *Registry) Prune(now time.Time) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	maps.DeleteFunc(r.backoffs, func(_ string, current backoff) bool { return !now.Before(current.until) })
+	r.limits.prune(r.config.View.Load().Servers, now)
 }
--- a/internal/notice/notice_test.go
+++ b/internal/notice/notice_test.go
@@ -12,89 +12,89 @@
 
 	"github.com/hatchplank/hatchplank/internal/fleet"
 
-	_ "github.com/hatchplank/hatchplank/internal/fixedseed" // property tests repeat
+	_ "github.com/hatchplank/hatchplank/internal/fixedseed" // fixes the seed
 )
 
-// board is a board with a server "s", and what it counted.
-type board struct {
+// fixture is a registry with a server "s", and the counts and log lines that it produced.
+type fixture struct {
 	*Registry
-	view             *fleet.View
-	server           *fleet.Server
-	counted, despite map[Kind]int
-	output           bytes.Buffer
+	view                 *fleet.View
+	server               *fleet.Server
+	noticed, disregarded map[Kind]int
+	output               bytes.Buffer
 }
 
-func newBoard() *board {
-	b := &board{view: fleet.NewView(), server: &fleet.Server{ID: "s", Pool: "p"}, counted: map[Kind]int{}, despite: map[Kind]int{}}
-	b.view.ReplaceServers(map[string]*fleet.Server{"s": b.server})
-	b.Registry = NewRegistry(Config{
-		View: b.view, OnNotice: func(kind Kind) { b.counted[kind]++ }, OnDisregarded: func(kind Kind) { b.despite[kind]++ },
-		Logger: zerolog.New(&b.output),
+func newFixture() *fixture {
+	f := &fixture{view: fleet.NewView(), server: &fleet.Server{ID: "s", Pool: "p"}, noticed: map[Kind]int{}, disregarded: map[Kind]int{}}
+	f.view.ReplaceServers(map[string]*fleet.Server{"s": f.server})
+	f.Registry = NewRegistry(Config{
+		View: f.view, OnNotice: func(kind Kind) { f.noticed[kind]++ }, OnDisregarded: func(kind Kind) { f.disregarded[kind]++ },
+		Logger: zerolog.New(&f.output),
 	})
-	return b
+	return f
 }
 
-// Servers ask for backoffs in any order and length: none ends before the last of them does.
-func TestLongestBackoffCounts(t *testing.T) {
+// Servers ask for backoffs in any order and length: the one that ends last holds.
+func TestBackoffThatEndsLastWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
-		b := newBoard()
+		f := newFixture()
 		now, latest := time.Now(), time.Time{}
 		for range rapid.IntRange(1, 20).Draw(t, "words") {
 			until := now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond)
-			b.backOff(b.server.Incarnation(), until)
+			f.extendBackoff(f.server.Incarnation(), until)
 			if until.After(latest) {
 				latest = until
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 1000).Draw(t, "step")) * time.Millisecond)
-			b.Prune(now)
+			f.Prune(now)
 			if now.Before(latest) {
-				g.Expect(b.BackoffUntil(b.server)).To(Equal(latest))
+				g.Expect(f.BackoffUntil(f.server)).To(Equal(latest))
 			}
 		}
-		b.Prune(latest)
-		g.Expect(b.BackoffUntil(b.server)).To(BeZero())
-		g.Expect(b.backoffs).To(BeEmpty())
+		f.Prune(latest)
+		g.Expect(f.BackoffUntil(f.server)).To(BeZero())
+		g.Expect(f.backoffs).To(BeEmpty())
 	})
 }
 
-func TestWhatIsSentInSpiteOfAWordIsCounted(t *testing.T) {
+func TestSendsDespiteANoticeAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
-		b := newBoard()
-		b.RecordNotice(b.server, Notice{}, Call{})
-		b.RecordSend(b.server, "request")
-		Expect(b.despite).To(BeEmpty())
-		Expect(b.output.String()).To(BeEmpty())
-		b.RecordNotice(b.server, Notice{RetryAfter: time.Second}, Call{})
-		b.RecordSend(b.server, "order")
-		Expect(b.despite).To(Equal(map[Kind]int{KindRetryAfter: 1}))
+		f := newFixture()
+		f.RecordNotice(f.server, Notice{}, Call{})
+		f.RecordSend(f.server, "request")
+		Expect(f.disregarded).To(BeEmpty())
+		Expect(f.output.String()).To(BeEmpty())
+		f.RecordNotice(f.server, Notice{RetryAfter: time.Second}, Call{})
+		f.RecordSend(f.server, "order")
+		Expect(f.disregarded).To(Equal(map[Kind]int{KindRetryAfter: 1}))
 		time.Sleep(time.Second)
-		b.RecordSend(b.server, "order")
-		Expect(b.despite).To(Equal(map[Kind]int{KindRetryAfter: 1}))
-		b.RecordNotice(b.server, Notice{Leaving: true, Unreadable: "soon"}, Call{})
-		b.RecordSend(b.server, "request")
-		Expect(b.despite).To(Equal(map[Kind]int{KindRetryAfter: 1, KindLeaving: 1}))
-		Expect(b.counted).To(Equal(map[Kind]int{KindRetryAfter: 1, KindLeaving: 1, KindUnreadable: 1}))
-		Expect(b.output.String()).To(ContainSubstring(`"purpose":"order","server_leaving":false,"backoff_left_ms":1000`))
-		Expect(b.output.String()).To(ContainSubstring(`"unreadable":"soon"`))
+		f.RecordSend(f.server, "order")
+		Expect(f.disregarded).To(Equal(map[Kind]int{KindRetryAfter: 1}))
+		f.RecordNotice(f.server, Notice{Leaving: true, Unreadable: "soon"}, Call{})
+		f.RecordSend(f.server, "request")
+		Expect(f.disregarded).To(Equal(map[Kind]int{KindRetryAfter: 1, KindLeaving: 1}))
+		Expect(f.noticed).To(Equal(map[Kind]int{KindRetryAfter: 1, KindLeaving: 1, KindUnreadable: 1}))
+		Expect(f.output.String()).To(ContainSubstring(`"purpose":"order","server_leaving":false,"backoff_left_ms":1000`))
+		Expect(f.output.String()).To(ContainSubstring(`"unreadable":"soon"`))
 	})
 }
 
-// A server that starts again under its ID has not asked for anything.
-func TestBackoffEndsWithItsLife(t *testing.T) {
+// A server that restarts under the same ID has not asked for a backoff yet.
+func TestBackoffEndsWithItsIncarnation(t *testing.T) {
 	RegisterTestingT(t)
-	b := newBoard()
+	f := newFixture()
 	until := time.Now().Add(time.Hour)
 	first, second := &fleet.Server{ID: "s", Born: 5}, &fleet.Server{ID: "s", Born: 6}
-	b.backOff(first.Incarnation(), until)
-	Expect(b.BackoffUntil(first)).To(Equal(until))
-	Expect(b.BackoffUntil(second)).To(BeZero())
-	// A record that was passed on without its birth.
-	Expect(b.BackoffUntil(b.server)).To(Equal(until))
-	b.backOff(second.Incarnation(), until.Add(-time.Minute))
-	Expect(b.BackoffUntil(second)).To(Equal(until.Add(-time.Minute)))
-	// A late answer of the first life.
-	b.backOff(first.Incarnation(), until.Add(time.Hour))
-	Expect(b.BackoffUntil(second)).To(Equal(until.Add(-time.Minute)))
+	f.extendBackoff(first.Incarnation(), until)
+	Expect(f.BackoffUntil(first)).To(Equal(until))
+	Expect(f.BackoffUntil(second)).To(BeZero())
+	// A record that was passed on without its start time.
+	Expect(f.BackoffUntil(f.server)).To(Equal(until))
+	f.extendBackoff(second.Incarnation(), until.Add(-time.Minute))
+	Expect(f.BackoffUntil(second)).To(Equal(until.Add(-time.Minute)))
+	// A late response of the first incarnation.
+	f.extendBackoff(first.Incarnation(), until.Add(time.Hour))
+	Expect(f.BackoffUntil(second)).To(Equal(until.Add(-time.Minute)))
 }
--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -83,8 +83,8 @@
 switch_off limit-told-by-holder internal/orders/limits.go 'due := version != after &&' 'due := false &&' ./platform
 switch_off limit-told-without-holder internal/orders/limits.go 'if len(limits) == 0 {' 'if len(limits) >= 0 {' ./platform
 switch_off limit-told-in-replies internal/orders/holder.go 'update.Limits, update.LimitsVersion =' '_, update.LimitsVersion =' ./platform
-switch_off limit-newest-word internal/notice/limits.go 'known.at.After(at) &&' 'false &&' ./internal/notice
-switch_off limit-ended-by-later internal/notice/limits.go 'asked.SentAt.After(e.at)' 'true' ./internal/notice
+switch_off limit-newest-word internal/notice/limits.go 'current.observedAt.After(observedAt) &&' 'false &&' ./internal/notice
+switch_off limit-ended-by-later internal/notice/limits.go 'call.SentAt.After(e.observedAt)' 'true' ./internal/notice
 switch_off limit-of-orders internal/orders/room.go 'grant := h.config.Limits.Take(ctx, server, serverlimit.Request{MaxWait: serverlimit.Window})' 'grant := serverlimit.Grant{Allowed: true}' ./platform
 switch_off limit-given-back internal/forward/attempt.go 'f.limits.Return(target.grant)' '_ = target.grant' ./internal/forward
 switch_off limit-after-choice internal/forward/attempt.go '|| f.newlyLimited(target)' '' ./internal/forward
@@ -241,7 +241,7 @@
 switch_off leaving-told-to-holder internal/orders/link.go 'Leaving: l.config.View.Leaving(),' '' ./platform
 switch_off backoff-of-requests internal/forward/choose.go 'if fits && backoff <= 0 {' 'if fits {' $forward
 switch_off backoff-of-orders internal/orders/backoff.go 'return max(h.config.Backoffs.BackoffUntil(server).Sub(now), 0)' 'return 0' ./platform
-switch_off longest-backoff internal/notice/notice.go 'if until.After(known.until) || life.Follows(known.life) {' 'if true {' ./internal/notice
+switch_off longest-backoff internal/notice/notice.go 'if until.After(current.until) || incarnation.Follows(current.incarnation) {' 'if true {' ./internal/notice
 switch_off asked-before-sending internal/forward/attempt.go 'if !f.stillTakes(place.server) {' 'if false {' $forward
 switch_off word-of-other-instance platform/notices.go 'instance != "" && instance != server.ID' 'false && instance != server.ID' ./platform
 # A store that comes back from a backup.
