--- a/internal/ratelimit/counters.go
+++ b/internal/ratelimit/counters.go
@@ -8,26 +8,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Counters are the nodes that count limits for all, as the holder of orders tells.
-// They are immutable.
+// Counters are the counter nodes: those that count limits for all nodes. The holder of orders
+// chooses them. Counters are immutable.
 type Counters struct {
-	// Token of the holder's term and Version within it order what was told.
+	// Token of the holder's term and Version within the term tell which Counters are newer.
 	Token   int64
 	Version uint64
 	// Addresses of the nodes.
 	Addresses []string
 }
 
-// newer reports whether c was told after the other.
-func (c Counters) newer(other Counters) bool {
+// isNewer reports whether c is newer than the other.
+func (c Counters) isNewer(other Counters) bool {
 	if c.Token != other.Token {
 		return c.Token > other.Token
 	}
 	return c.Version > other.Version
 }
 
-// ranked returns the addresses in the order in which they count a limit: by
-// rendezvous hash, so that a node that leaves moves only what it counted.
+// ranked returns the addresses in the order in which they count a limit: by rendezvous hash,
+// so that only the limits of a removed node move to another one.
 func (c Counters) ranked(name string) []string {
 	ranked := slices.Clone(c.Addresses)
 	slices.SortFunc(ranked, func(a, b string) int {
@@ -36,29 +36,30 @@
 	return ranked
 }
 
-// MaxCounters is how many nodes count: enough that none counts much, and few
-// enough that a quorum of them is soon heard and that a node needs few connections.
+// MaxCounters is the number of counter nodes in a fleet of at least that size: enough to spread
+// the load, and few enough that a quorum is contacted quickly and that a node needs few
+// connections.
 const MaxCounters = 8
 
-// ChooseCounters returns the nodes that count: those of the earlier ones that live, and
-// others in order of hash, so that all holders choose alike.
-func ChooseCounters(earlier, living []string) []string {
+// ChooseCounters returns the addresses of the counter nodes: the earlier ones that are live,
+// and others in order of hash, so that all holders choose the same.
+func ChooseCounters(earlier, live []string) []string {
 	var chosen []string
 	for _, address := range earlier {
-		if slices.Contains(living, address) && len(chosen) < MaxCounters {
+		if slices.Contains(live, address) && len(chosen) < MaxCounters {
 			chosen = append(chosen, address)
 		}
 	}
 	if len(chosen) < MaxCounters {
-		chosen = fill(chosen, living)
+		chosen = fill(chosen, live)
 	}
 	slices.Sort(chosen)
 	return chosen
 }
 
-// fill adds living nodes in order of hash until there are enough.
-func fill(chosen, living []string) []string {
-	others := slices.Clone(living)
+// fill adds live nodes in order of hash up to MaxCounters.
+func fill(chosen, live []string) []string {
+	others := slices.Clone(live)
 	slices.SortFunc(others, func(a, b string) int { return cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)) })
 	for _, address := range others {
 		if len(chosen) == MaxCounters {
@@ -71,28 +72,27 @@
 	return chosen
 }
 
-// mostRanked rankings are remembered: servers, whose limits are counted too, come and go.
-const mostRanked = 4096
+// maxRankings bounds the cached rankings: servers, whose limits are counted too, come and go.
+const maxRankings = 4096
 
-// counterList holds the newest Counters and remembers rankings.
+// counterList holds the newest Counters and caches rankings.
 type counterList struct {
-	mutex   sync.Mutex
-	current Counters
-	byName  map[string][]string
+	mutex    sync.Mutex
+	current  Counters
+	rankings map[string][]string
 }
 
-// set takes over what was told, unless something newer was. It reports whether the
-// addresses changed.
-func (l *counterList) set(told Counters) bool {
+// set replaces the counters if the update is newer, and reports whether the addresses changed.
+func (l *counterList) set(update Counters) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if !told.newer(l.current) {
+	if !update.isNewer(l.current) {
 		return false
 	}
-	changed := !slices.Equal(told.Addresses, l.current.Addresses)
-	l.current = told
+	changed := !slices.Equal(update.Addresses, l.current.Addresses)
+	l.current = update
 	if changed {
-		l.byName = map[string][]string{}
+		l.rankings = map[string][]string{}
 	}
 	return changed
 }
@@ -103,17 +103,17 @@
 	return l.current
 }
 
-// ranked is Counters.ranked, remembered for each limit.
+// ranked is Counters.ranked with a cache.
 func (l *counterList) ranked(name string) []string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if found, known := l.byName[name]; known {
-		return found
+	if cached, exists := l.rankings[name]; exists {
+		return cached
 	}
 	ranked := l.current.ranked(name)
-	if l.byName == nil || len(l.byName) >= mostRanked {
-		l.byName = map[string][]string{}
+	if l.rankings == nil || len(l.rankings) >= maxRankings {
+		l.rankings = map[string][]string{}
 	}
-	l.byName[name] = ranked
+	l.rankings[name] = ranked
 	return ranked
 }
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -1,10 +1,11 @@
-// Package ratelimit keeps limits over all nodes together: of what tenants get, and of what
-// servers take.
+// Package ratelimit enforces rate limits over all nodes together: on what tenants use, and on
+// what servers are sent.
 //
-// One node counts each limit, and the others ask it before they use something; if that
-// node does not answer, the next one in the limit's order counts. A question walks through
-// the files: ask (this node asks), keeper and account (another one counts), heard (what
-// this node learns from the answer), alone (nobody answered). File counters says who counts.
+// Each limit is counted by one of a few counter nodes, which the other nodes ask before they
+// use something; if that node does not reply, the next one in the limit's order counts. A
+// request passes through these files: take (this node asks a counter node), meters and meter
+// (the counter node counts), remote_counts (this node keeps the count in the reply), fallback
+// (no counter node replied). counters.go determines which nodes count.
 package ratelimit
 
 import "time"
@@ -13,46 +14,47 @@
 type Limit struct {
 	// Rate in units a second; 0: no limit.
 	Rate float64
-	// Burst in units above the rate, in each window.
+	// Burst in units in excess of the rate, in each window.
 	Burst float64
 	// Window over which the limit holds.
 	Window time.Duration
-	// Paced: what is used is spread over time, and may be granted ahead of it; nothing is
-	// summed over the window. Nothing is left at first, since the limit may have begun just
-	// now, and a node that has to decide alone gives its first request only after its share
-	// of time: without that each of 985 nodes would give one at once.
+	// Paced limits spread the usage evenly and may grant a slot in the future; the usage is not
+	// summed over the window. At first nothing is available, since the limit may just have
+	// been set, and a node that reaches no counter node grants its first request only after
+	// its share of time: otherwise each of 985 nodes would grant one at once.
 	Paced bool
 }
 
-// Request is something that is to be counted.
+// Request is something to be counted.
 type Request struct {
 	// Name of the limit.
 	Name string
-	// Limit as this node knows it. The node that counts goes by its own word where it has
-	// one (Config.Known).
+	// Limit as this node has it. A counter node that has a limit of the name in its
+	// configuration uses that one (Config.ConfiguredLimit).
 	Limit Limit
 	// Cost in the limit's unit.
 	Cost float64
-	// Rank among the requests, from 0, the most urgent, to 1.
+	// Rank is the urgency, from 0 (most urgent) to 1.
 	Rank float64
-	// MaxWait is how long who asks would wait for its turn, where the limit is paced.
+	// MaxWait is how long the caller would wait for a slot of a paced limit.
 	MaxWait time.Duration
 }
 
-// Verdict says whether a request is within its limit.
+// Verdict is the decision on a Request.
 type Verdict struct {
+	// Allowed reports whether the request is within its limit.
 	Allowed bool
-	// Delay is the time until it may be used, if it is within.
+	// Delay is the time until its slot, if it is allowed.
 	Delay time.Duration
-	// RetryAfter is the time until there is room for this request, if it is not within: others
-	// were told that they come before.
+	// RetryAfter is the time until the limit has capacity for this request, if it is refused:
+	// after the callers that were refused before.
 	RetryAfter time.Duration
-	// NextSlotIn is the time until there is room for any request, if it is not within.
+	// NextSlotIn is the time until the limit has capacity for any request, if this one is
+	// refused.
 	NextSlotIn time.Duration
-	// CountedBy is the address of the node that counted for all; empty if this node
-	// had to decide alone.
+	// CountedBy is the address of the counter node; empty if this node decided without one.
 	CountedBy string
-	// process of that node which did.
+	// process of the counter node.
 	process int64
 	takenAt time.Time
 }
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -13,67 +13,70 @@
 )
 
 const (
-	// askTimeout is how long a node that counts may take to answer: some tens of
-	// round trips, and below the shortest objective of the users' routes (150 ms).
-	askTimeout = 100 * time.Millisecond
-	// probePeriod between looks whether the other nodes that count answer.
+	// takeTimeout bounds the wait for a counter node's reply: some tens of round trips, and
+	// below the shortest latency objective of the users' routes (150 ms).
+	takeTimeout = 100 * time.Millisecond
+	// probePeriod is the time between probes of other counter nodes.
 	probePeriod = 200 * time.Millisecond
-	// quorumTime is how long a node goes on counting that does not hear of more than half
-	// of those that count: it may be cut off with others, and the next one count for the
-	// rest. In that time a limit may be given twice.
-	quorumTime = 500 * time.Millisecond
-	// unusedTime after which a limit that nobody asks for is forgotten: many windows, after
-	// which nothing of it is left to know. tidyPeriod is between looks for such limits.
-	unusedTime = time.Minute
-	tidyPeriod = 10 * time.Second
-	// lookTime is how long a node that is asked, and has not heard the others that count since
-	// nothing was limited, waits for them: some round trips. Without it each node decides alone
-	// for 0.2 s after a server named the first limit, and refuses what comes.
-	lookTime = 20 * time.Millisecond
-	// inUseTime after a question a node goes on to look after the others that count.
-	inUseTime = 10 * time.Second
-	// mostAsked nodes are asked for one request.
-	mostAsked = 3
+	// quorumTimeout is how long a counter node continues to count without contact with more
+	// than half of the counter nodes: it may be partitioned with some nodes while the next one
+	// counts for the others. In that time a limit may be granted twice.
+	quorumTimeout = 500 * time.Millisecond
+	// idleTime is how long a limit without requests is kept: many windows, after which no usage
+	// remains to be counted. prunePeriod is the time between removals of such limits.
+	idleTime    = time.Minute
+	prunePeriod = 10 * time.Second
+	// quorumWait is how long a counter node waits for replies of the others when a request
+	// arrives after a time in which nothing was limited and they sent each other nothing: some
+	// round trips. Without the wait, each node decides without a counter node for 0.2 s after a
+	// server announced the first limit, and refuses requests.
+	quorumWait = 20 * time.Millisecond
+	// activeTime is how long a counter node probes the others after a request.
+	activeTime = 10 * time.Second
+	// maxAsked is how many counter nodes are asked for one request.
+	maxAsked = 3
 )
 
 // Config configures a Limiter.
 type Config struct {
-	// ConfiguredLimit returns the limit that this node's configuration has under a name; nil: none.
+	// ConfiguredLimit returns the limit that this node's configuration has under a name; nil: it
+	// has none.
 	ConfiguredLimit func(name string) (Limit, bool)
 	Transport       peer.Transport
-	// Address of this node, as others are told.
+	// Address of this node, as other nodes have it.
 	Address string
-	// InUse reports whether there is anything to limit; nil: always. Without that the nodes
-	// that count send each other nothing: 35 messages a second at each of eight otherwise.
+	// InUse reports whether there are any limits; nil: always. While there are none, counter
+	// nodes do not probe each other, which takes 35 messages a second at each of eight.
 	InUse  func() bool
 	Logger zerolog.Logger
 }
 
-// Limiter keeps limits over all nodes. It is safe for concurrent use.
+// Limiter enforces limits over all nodes. It is safe for concurrent use.
 type Limiter struct {
 	config Config
-	// process tells the processes of this node apart, in nanoseconds of its clock.
-	process  int64
-	counters counterList
-	keeper   *keeper
-	alone    *alone
-	heard    *heard
+	// process identifies this process of the node: its start in Unix nanoseconds.
+	process      int64
+	counters     counterList
+	meters       *meters
+	fallback     *fallback
+	remoteCounts *remoteCounts
 
 	mutex sync.Mutex
-	// silent nodes did not answer.
-	silent map[string]bool
-	// heardAt is when each of the other nodes that count last asked or answered, but for
-	// those that get no answer of this one in time and let another one count: taken for
-	// heard, two nodes gave 2.84 million tokens in a window of 1.8 million (virtual time).
-	heardAt map[string]time.Time
-	// askedAt is when another node asked last, and lookedAt when this one last looked, because
-	// of a question, whether the others that count hear it.
-	askedAt, lookedAt time.Time
-	// changed wakes Run when the nodes that count change, or are needed again.
-	changed chan struct{}
+	// unreachable counter nodes did not reply to a call, nor to a probe since.
+	unreachable map[string]bool
+	// contactAt is when each of the other counter nodes last sent a request or a reply. Messages
+	// of nodes that do not get the replies of this one in time, and so let another node count,
+	// are not contact: when they were, two nodes granted 2.84 million tokens in a window of
+	// 1.8 million (virtual time).
+	contactAt map[string]time.Time
+	// requestedAt is when another node last sent a request, and probedAt when a request last
+	// made this node probe the other counter nodes.
+	requestedAt, probedAt time.Time
+	// wakeUp wakes Run when the counter nodes changed, or are needed again.
+	wakeUp chan struct{}
 }
 
-// New returns a limiter and registers its messages with the transport.
+// New returns a Limiter and registers its message handlers with the transport.
 func New(config Config) *Limiter {
 	if config.ConfiguredLimit == nil {
 		config.ConfiguredLimit = func(string) (Limit, bool) { return Limit{}, false }
@@ -82,49 +85,49 @@
 		config.InUse = func() bool { return true }
 	}
 	limiter := &Limiter{
-		config: config, process: time.Now().UnixNano(), keeper: newKeeper(), alone: newAlone(), heard: newHeard(), silent: map[string]bool{},
-		heardAt: map[string]time.Time{}, changed: make(chan struct{}, 1),
+		config: config, process: time.Now().UnixNano(), meters: newMeters(), fallback: newFallback(), remoteCounts: newRemoteCounts(), unreachable: map[string]bool{},
+		contactAt: map[string]time.Time{}, wakeUp: make(chan struct{}, 1),
 	}
-	config.Transport.Handle(TakeRequest{}, limiter.serveAsk)
-	config.Transport.Handle(ReturnMessage{}, limiter.serveGiveBack)
+	config.Transport.Handle(TakeRequest{}, limiter.serveTake)
+	config.Transport.Handle(ReturnMessage{}, limiter.serveReturn)
 	return limiter
 }
 
-// SetNodes tells how many nodes there are.
-func (l *Limiter) SetNodes(nodes int) { l.alone.setNodes(nodes) }
+// SetNodes sets the number of nodes that share the limits.
+func (l *Limiter) SetNodes(nodes int) { l.fallback.setNodes(nodes) }
 
-// SetCounters tells which nodes count.
-func (l *Limiter) SetCounters(told Counters) {
-	if !l.counters.set(told) {
+// SetCounters sets the counter nodes, unless newer ones were set.
+func (l *Limiter) SetCounters(counters Counters) {
+	if !l.counters.set(counters) {
 		return
 	}
 	l.wake()
-	l.config.Logger.Info().Strs("counters", told.Addresses).Int64("token", told.Token).Uint64("version", told.Version).
+	l.config.Logger.Info().Strs("counters", counters.Addresses).Int64("token", counters.Token).Uint64("version", counters.Version).
 		Msg("nodes that count quotas changed")
 }
 
-// wake makes Run look after the other nodes that count now.
+// wake makes Run probe the other counter nodes now.
 func (l *Limiter) wake() {
 	select {
-	case l.changed <- struct{}{}:
+	case l.wakeUp <- struct{}{}:
 	default:
 	}
 }
 
-// noteAsked notes that another node asked for room.
-func (l *Limiter) noteAsked(now time.Time) {
+// noteRequest records a request of another node.
+func (l *Limiter) noteRequest(now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.askedAt = now
+	l.requestedAt = now
 }
 
-// lookAgain asks the other nodes that count whether they hear this one, unless it has done so
-// just now, and reports whether it did.
-func (l *Limiter) lookAgain(now time.Time) bool {
+// probeForQuorum makes Run probe the other counter nodes, unless it did so less than a
+// probePeriod ago, and reports whether it does.
+func (l *Limiter) probeForQuorum(now time.Time) bool {
 	l.mutex.Lock()
-	due := now.Sub(l.lookedAt) >= probePeriod
+	due := now.Sub(l.probedAt) >= probePeriod
 	if due {
-		l.lookedAt = now
+		l.probedAt = now
 	}
 	l.mutex.Unlock()
 	if due {
@@ -133,109 +136,109 @@
 	return due
 }
 
-// Counters returns the nodes that count, as this node knows.
+// Counters returns the newest counter nodes that were set.
 func (l *Limiter) Counters() Counters { return l.counters.get() }
 
-// Run looks after nodes that did not answer until ctx ends.
+// Run probes other counter nodes and drops idle limits until ctx ends.
 func (l *Limiter) Run(ctx context.Context) {
-	tidied := time.Now()
+	pruned := time.Now()
 	timer := time.NewTimer(probePeriod)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.changed:
+		case <-l.wakeUp:
 		case <-timer.C:
 			timer.Reset(probePeriod)
 		}
 		for _, address := range l.toProbe(time.Now()) {
 			l.probe(address)
 		}
-		if time.Since(tidied) >= tidyPeriod {
-			tidied = time.Now()
-			l.forget(time.Now())
+		if time.Since(pruned) >= prunePeriod {
+			pruned = time.Now()
+			l.prune(time.Now())
 		}
 	}
 }
 
-// forget drops limits that nobody has asked for lately.
-func (l *Limiter) forget(now time.Time) {
-	l.keeper.forget(now)
-	l.alone.forget(now)
-	l.heard.forget(now)
+// prune drops limits that were not used for idleTime.
+func (l *Limiter) prune(now time.Time) {
+	l.meters.prune(now)
+	l.fallback.prune(now)
+	l.remoteCounts.prune(now)
 }
 
-// probe looks whether a node answers.
+// probe checks whether a node replies.
 func (l *Limiter) probe(address string) {
-	l.config.Transport.Call(address, TakeRequest{Silent: l.isSilent(address)}, askTimeout, func(message peer.Message, err error) {
+	l.config.Transport.Call(address, TakeRequest{Silent: l.isUnreachable(address)}, takeTimeout, func(message peer.Message, err error) {
 		if err != nil {
 			return
 		}
-		if answer, isAnswer := message.(TakeReply); isAnswer && !answer.Silent {
-			l.noteHeard(address)
+		if reply, isReply := message.(TakeReply); isReply && !reply.Silent {
+			l.noteContact(address)
 		}
-		l.setSilent(address, false)
+		l.setUnreachable(address, false)
 	})
 }
 
-// toProbe are the nodes that did not answer and, if this node counts, the others that
-// count and were not heard lately.
+// toProbe returns the unreachable counter nodes and, if this node is a counter node and limits
+// are in use, the others without recent contact.
 func (l *Limiter) toProbe(now time.Time) []string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	known := l.counters.get().Addresses
-	maps.DeleteFunc(l.silent, func(address string, _ bool) bool { return !slices.Contains(known, address) })
-	maps.DeleteFunc(l.heardAt, func(address string, _ time.Time) bool { return !slices.Contains(known, address) })
-	counts := slices.Contains(known, l.config.Address) && (now.Sub(l.askedAt) < inUseTime || l.config.InUse())
+	addresses := l.counters.get().Addresses
+	maps.DeleteFunc(l.unreachable, func(address string, _ bool) bool { return !slices.Contains(addresses, address) })
+	maps.DeleteFunc(l.contactAt, func(address string, _ time.Time) bool { return !slices.Contains(addresses, address) })
+	probes := slices.Contains(addresses, l.config.Address) && (now.Sub(l.requestedAt) < activeTime || l.config.InUse())
 	var due []string
-	for _, address := range known {
-		unheard := counts && now.Sub(l.heardAt[address]) >= probePeriod/2
-		if address != l.config.Address && (l.silent[address] || unheard) {
+	for _, address := range addresses {
+		noContact := probes && now.Sub(l.contactAt[address]) >= probePeriod/2
+		if address != l.config.Address && (l.unreachable[address] || noContact) {
 			due = append(due, address)
 		}
 	}
 	return due
 }
 
-// noteHeard notes that another node asked or answered.
-func (l *Limiter) noteHeard(address string) {
+// noteContact records a request or reply of another node.
+func (l *Limiter) noteContact(address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.heardAt[address] = time.Now()
+	l.contactAt[address] = time.Now()
 }
 
-// mayCount reports whether this node is one of those that count and hears of more than
-// half of them: of two parts of a network that is cut, at most one counts.
-func (l *Limiter) mayCount(now time.Time) bool {
+// hasQuorum reports whether this node is a counter node and has contact with more than half of
+// them: of two sides of a network partition, at most one counts.
+func (l *Limiter) hasQuorum(now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	known := l.counters.get().Addresses
-	heard := 0
-	for _, address := range known {
-		if address == l.config.Address || now.Sub(l.heardAt[address]) < quorumTime {
-			heard++
+	addresses := l.counters.get().Addresses
+	reachable := 0
+	for _, address := range addresses {
+		if address == l.config.Address || now.Sub(l.contactAt[address]) < quorumTimeout {
+			reachable++
 		}
 	}
-	return slices.Contains(known, l.config.Address) && 2*heard > len(known)
+	return slices.Contains(addresses, l.config.Address) && 2*reachable > len(addresses)
 }
 
-func (l *Limiter) setSilent(address string, silent bool) {
+func (l *Limiter) setUnreachable(address string, unreachable bool) {
 	l.mutex.Lock()
-	changed := l.silent[address] != silent
-	if silent {
-		l.silent[address] = true
+	changed := l.unreachable[address] != unreachable
+	if unreachable {
+		l.unreachable[address] = true
 	} else {
-		delete(l.silent, address)
+		delete(l.unreachable, address)
 	}
 	l.mutex.Unlock()
 	if changed {
-		l.config.Logger.Info().Str("counter", address).Bool("answers", !silent).Msg("node that counts quotas")
+		l.config.Logger.Info().Str("counter", address).Bool("answers", !unreachable).Msg("node that counts quotas")
 	}
 }
 
-func (l *Limiter) isSilent(address string) bool {
+func (l *Limiter) isUnreachable(address string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.silent[address]
+	return l.unreachable[address]
 }
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -16,11 +16,11 @@
 	"github.com/hatchplank/hatchplank/internal/standin/peers"
 )
 
-// The tests run in virtual time, which needs the testing package's own form. How a limit
-// holds over many nodes whatever happens is tested with tenants (package tenants) and with
+// The tests run in virtual time (testing/synctest), which needs plain test functions. That a
+// limit holds over many nodes under faults is tested with tenants (package tenants) and with
 // servers (package platform).
 
-// countingTransport counts the messages that a node sends of itself.
+// countingTransport counts the calls that a node makes.
 type countingTransport struct {
 	peer.Transport
 	sent atomic.Int64
@@ -31,7 +31,7 @@
 	c.Transport.Call(address, message, timeout, done)
 }
 
-// fleet is nodes that count, and whether anything is limited.
+// fleet has nodes with limiters. inUse is whether anything is limited.
 type fleet struct {
 	*peers.Network
 	transports []*countingTransport
@@ -39,7 +39,7 @@
 	inUse      bool
 }
 
-// withFleet runs the body with nodes which know who counts.
+// withFleet runs the body with nodes that have the counter nodes.
 func withFleet(t *testing.T, nodes int, body func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
@@ -68,7 +68,7 @@
 	})
 }
 
-// sent counts the messages of all nodes.
+// sent counts the calls of all nodes.
 func (f *fleet) sent() int64 {
 	total := int64(0)
 	for _, transport := range f.transports {
@@ -77,8 +77,8 @@
 	return total
 }
 
-// paced takes from a limit of requests a second, and waits for the turn if it is given.
-func (f *fleet) paced(node int, perSecond float64, maxWait time.Duration) ratelimit.Verdict {
+// takePaced takes one request from a paced limit, and waits for the slot if it is granted.
+func (f *fleet) takePaced(node int, perSecond float64, maxWait time.Duration) ratelimit.Verdict {
 	verdict := f.limiters[node].Take(context.Background(), ratelimit.Request{
 		Name: "server s", Limit: ratelimit.Limit{Rate: perSecond, Window: 4 * time.Second, Paced: true}, Cost: 1, MaxWait: maxWait,
 	})
@@ -86,15 +86,15 @@
 	return verdict
 }
 
-func TestNodesThatCountSendNothingWhileNothingIsLimited(t *testing.T) {
+func TestCounterNodesSendNothingWhileNothingIsLimited(t *testing.T) {
 	withFleet(t, 8, func(f *fleet) {
 		before := f.sent()
 		time.Sleep(time.Minute)
 		Expect(f.sent()).To(Equal(before))
-		// The first question wakes them: it is decided alone, and soon they count for all.
-		f.paced(0, 1, 0)
+		// The first request is decided by the fallback. It wakes the counter nodes, which soon count.
+		f.takePaced(0, 1, 0)
 		time.Sleep(500 * time.Millisecond)
-		Expect(f.paced(0, 1, time.Second).CountedBy).NotTo(BeEmpty())
+		Expect(f.takePaced(0, 1, time.Second).CountedBy).NotTo(BeEmpty())
 		time.Sleep(time.Minute)
 		before = f.sent()
 		time.Sleep(time.Minute)
@@ -102,36 +102,35 @@
 	})
 }
 
-func TestTurnsAreGivenAheadInOrder(t *testing.T) {
+func TestSlotsAreGrantedAheadInOrder(t *testing.T) {
 	withFleet(t, 4, func(f *fleet) {
 		f.inUse = true
 		time.Sleep(time.Second)
-		f.paced(0, 2, time.Second)
+		f.takePaced(0, 2, time.Second)
 		began := time.Now()
-		var turns []time.Duration
+		var slots []time.Duration
 		for i := range 6 {
 			verdict := f.limiters[i%4].Take(context.Background(), ratelimit.Request{
 				Name: "server s", Limit: ratelimit.Limit{Rate: 2, Window: 4 * time.Second, Paced: true}, Cost: 1, MaxWait: 1800 * time.Millisecond,
 			})
 			if verdict.Allowed {
-				turns = append(turns, time.Since(began)+verdict.Delay)
+				slots = append(slots, time.Since(began)+verdict.Delay)
 				continue
 			}
 			Expect(verdict.RetryAfter).To(BeNumerically(">", 1800*time.Millisecond))
 		}
-		Expect(turns).To(HaveLen(3), "within 1.8 s of 2 a second, after one just now")
-		for i, turn := range turns {
-			Expect(turn).To(BeNumerically("~", time.Duration(i+1)*500*time.Millisecond, 20*time.Millisecond))
+		Expect(slots).To(HaveLen(3), "within 1.8 s of 2 a second, after one just now")
+		for i, slot := range slots {
+			Expect(slot).To(BeNumerically("~", time.Duration(i+1)*500*time.Millisecond, 20*time.Millisecond))
 		}
 	})
 }
 
-// What is given back is there for the next one.
-func TestTurnThatIsNotUsedIsGivenToTheNext(t *testing.T) {
+func TestReturnedSlotIsGrantedToTheNextRequest(t *testing.T) {
 	withFleet(t, 4, func(f *fleet) {
 		f.inUse = true
 		time.Sleep(time.Second)
-		f.paced(0, 1, 2*time.Second)
+		f.takePaced(0, 1, 2*time.Second)
 		request := ratelimit.Request{
 			Name: "server s", Limit: ratelimit.Limit{Rate: 1, Window: 4 * time.Second, Paced: true}, Cost: 1, MaxWait: 4 * time.Second,
 		}
@@ -144,28 +143,28 @@
 	})
 }
 
-func TestWithoutNodesThatCountEachGivesItsShareOnly(t *testing.T) {
+func TestWithoutCounterNodesEachNodeGrantsOnlyItsShare(t *testing.T) {
 	withFleet(t, 4, func(f *fleet) {
 		for _, limiter := range f.limiters {
 			limiter.SetCounters(ratelimit.Counters{Token: 2, Version: 1})
 		}
-		given := 0
+		granted := 0
 		for range 1000 {
 			for node := range f.limiters {
-				if f.paced(node, 1, 0).Allowed {
-					given++
+				if f.takePaced(node, 1, 0).Allowed {
+					granted++
 				}
 			}
 			time.Sleep(40 * time.Millisecond)
 		}
-		Expect(given).To(BeNumerically("<=", 20), "half of the limit in 40 s")
-		Expect(given).To(BeNumerically(">=", 16))
+		Expect(granted).To(BeNumerically("<=", 20), "half of the limit in 40 s")
+		Expect(granted).To(BeNumerically(">=", 16))
 	})
 }
 
-// A node of an earlier build knows no limit but tenants', and says of any other that it has
-// room.
-func TestNodeThatKnowsNoSuchLimitDoesNotCount(t *testing.T) {
+// A node of an earlier build has only tenants' limits, and replies to a request for any other
+// limit that it is allowed.
+func TestReplyWithoutSuchALimitIsNotACount(t *testing.T) {
 	withFleet(t, 2, func(f *fleet) {
 		f.inUse = true
 		for _, transport := range f.transports {
@@ -174,7 +173,7 @@
 			})
 		}
 		f.limiters[0].SetCounters(ratelimit.Counters{Token: 2, Version: 1, Addresses: []string{"node-01"}})
-		verdict := f.paced(0, 1, time.Second)
+		verdict := f.takePaced(0, 1, time.Second)
 		Expect(verdict.Allowed).To(BeFalse())
 		Expect(verdict.CountedBy).To(BeEmpty())
 	})
--- a/internal/ratelimit/messages.go
+++ b/internal/ratelimit/messages.go
@@ -8,52 +8,56 @@
 
 // TakeRequest takes from a limit at the node that counts it.
 type TakeRequest struct {
-	// Tenant is the name of the limit. Nodes that run an earlier build, which counts
-	// tenants only, know the field by this name.
+	// Tenant is the name of the limit. Nodes of an earlier build, which count only tenants'
+	// limits, have the field under this name.
 	Tenant string
-	// Limit as the asking node knows it; zero if it is known by its name.
+	// Limit as the requesting node has it; zero if it is configured under the name.
 	Limit Limit
-	// Cost in the limit's unit; 0 only asks whether the node answers.
+	// Cost in the limit's unit; 0 only probes whether the node replies.
 	Cost float64
 	// Rank as in Request.
 	Rank float64
 	// MaxWait as in Request.
 	MaxWait time.Duration
-	// Silent: the receiver's last answer came too late for the sender, or not at all, so
-	// it must not take this for a sign that it is heard.
+	// Silent: the receiver's last reply reached the sender too late or not at all, so the
+	// receiver must not count this message as contact.
 	Silent bool
-	// Relayed: the sender was asked itself, and the receiver must answer for itself.
+	// Relayed: the sender relays the request of another node, and the receiver must not relay
+	// it again.
 	Relayed bool
-	// Heard is what the asking node heard from another node that counted the limit;
-	// nothing, if the receiver counted it last.
+	// Heard is the count that the requesting node received from another node that counted the
+	// limit; zero if the receiver counted it last.
 	Heard Count
 }
 
-// TakeReply to an Ask.
+// TakeReply is the reply to a TakeRequest.
 type TakeReply struct {
+	// Within as Allowed in Verdict.
 	Within bool
-	// In, RoomIn and NextIn as in Verdict.
+	// In, RoomIn and NextIn as Delay, RetryAfter and NextSlotIn in Verdict.
 	In, RoomIn, NextIn time.Duration
 	// CountedBy is the address of the node that counted, and Left its count.
 	CountedBy string
-	// Silent as in Ask: the asking node's own answers come too late for this one.
+	// Silent as in TakeRequest: replies of the requesting node reach this one too late.
 	Silent bool
-	// Process tells the processes of that node apart; 0 if nothing was counted.
+	// Process identifies the process of that node; 0 if nothing was counted.
 	Process int64
 	Left    Count
 }
 
-// ReturnMessage returns the cost of a request that has not run.
+// ReturnMessage returns the cost of a request that was not executed.
 type ReturnMessage struct {
-	// Tenant as in Ask.
+	// Tenant as in TakeRequest.
 	Tenant string
 	Cost   float64
-	// Process that counted the cost. A later one of the node never did, and would take it
-	// for room: 132 requests ran in a window in which 119 are tolerated (soak of 4 nodes).
+	// Process that counted the cost. A later process of the node did not count it, and would
+	// add it to the capacity: 132 requests were executed in a window in which 119 are
+	// tolerated (soak of 4 nodes).
 	Process int64
 }
 
-// The names are those of earlier builds, which run beside this one while nodes are replaced.
+// Messages are registered under the names that earlier builds use, which run beside this one
+// during an upgrade.
 func init() {
 	peer.RegisterAs("tenants.Ask", TakeRequest{})
 	peer.RegisterAs("tenants.Answer", TakeReply{})
--- /dev/null
+++ b/internal/ratelimit/take.go
@@ -0,0 +1,184 @@
+package ratelimit
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/hatchplank/hatchplank/internal/peer"
+)
+
+// errNoQuorum is returned to other nodes while this node has no contact with more than half of
+// the counter nodes.
+var errNoQuorum = errors.New("this node may be cut off from others that count")
+
+// Take asks whether a request is within its limit, and counts it if it is. It asks the counter
+// nodes in the limit's order, and decides locally if none replies.
+func (l *Limiter) Take(ctx context.Context, request Request) Verdict {
+	ranked := l.counters.ranked(request.Name)
+	for _, address := range ranked[:min(len(ranked), maxAsked)] {
+		if l.isUnreachable(address) {
+			continue
+		}
+		if reply, replied := l.takeAt(ctx, address, request); replied {
+			l.remoteCounts.set(request.Name, reply, time.Now())
+			return Verdict{
+				Allowed: reply.Within, Delay: reply.In, RetryAfter: reply.RoomIn, NextSlotIn: reply.NextIn, CountedBy: reply.CountedBy,
+				process: reply.Process, takenAt: time.Now(),
+			}
+		}
+	}
+	now := time.Now()
+	allowed, retryAfter := l.fallback.take(request.Name, request.Limit, request.Cost, l.remoteCounts.isNearLimit(request.Name, request.Limit, now), now)
+	// A counter node may be reachable again by the next probe.
+	return Verdict{Allowed: allowed, RetryAfter: retryAfter, NextSlotIn: min(retryAfter, probePeriod)}
+}
+
+// takeAt asks one counter node, which may be this one.
+func (l *Limiter) takeAt(ctx context.Context, address string, request Request) (TakeReply, bool) {
+	message := TakeRequest{
+		Tenant: request.Name, Cost: request.Cost, Rank: request.Rank, MaxWait: request.MaxWait, Heard: l.remoteCounts.except(request.Name, address, time.Now()),
+	}
+	if !l.isConfigured(request.Name) {
+		message.Limit = request.Limit
+	}
+	if address == l.config.Address {
+		if !l.hasQuorum(time.Now()) {
+			return TakeReply{}, false
+		}
+		return l.countHere(request.Limit, message), true
+	}
+	replies := make(chan *TakeReply, 1)
+	l.config.Transport.Call(address, message, takeTimeout, func(received peer.Message, err error) {
+		reply, isReply := received.(TakeReply)
+		if err != nil || !isReply {
+			l.setUnreachable(address, true)
+			replies <- nil
+			return
+		}
+		if !reply.Silent {
+			l.noteContact(address)
+		}
+		replies <- &reply
+	})
+	select {
+	case reply := <-replies:
+		if reply == nil || reply.countedNothing() && !l.isConfigured(request.Name) {
+			return TakeReply{}, false
+		}
+		return *reply, true
+	case <-ctx.Done():
+		return TakeReply{}, false
+	}
+}
+
+// countedNothing reports whether the node had no such limit: it runs an earlier build, or has
+// another configuration.
+func (r TakeReply) countedNothing() bool { return r.Within && r.Process == 0 }
+
+// countHere counts a request on this node.
+func (l *Limiter) countHere(limit Limit, request TakeRequest) TakeReply {
+	now := time.Now()
+	verdict, count := l.meters.take(limit, request, now)
+	return TakeReply{
+		Within: verdict.Allowed, In: verdict.Delay, RoomIn: verdict.RetryAfter, NextIn: verdict.NextSlotIn, CountedBy: l.config.Address, Process: l.process, Left: count,
+	}
+}
+
+// limitOf returns the limit of a request: the one that this node's configuration has under the
+// name, or else the one that the requesting node sent.
+func (l *Limiter) limitOf(request TakeRequest) (Limit, bool) {
+	if limit, configured := l.config.ConfiguredLimit(request.Tenant); configured {
+		return limit, true
+	}
+	return request.Limit, request.Limit.Rate > 0
+}
+
+// isConfigured reports whether this node's configuration has a limit of the name.
+func (l *Limiter) isConfigured(name string) bool {
+	_, configured := l.config.ConfiguredLimit(name)
+	return configured
+}
+
+// serveTake handles a TakeRequest of another node.
+func (l *Limiter) serveTake(from string, message peer.Message, reply func(peer.Message, error)) {
+	request := message.(TakeRequest)
+	respond := func(taken TakeReply) {
+		taken.Silent = l.isUnreachable(from)
+		reply(taken, nil)
+	}
+	if !request.Silent {
+		l.noteContact(from)
+	}
+	if request.Cost == 0 {
+		respond(TakeReply{})
+		return
+	}
+	now := time.Now()
+	l.noteRequest(now)
+	if l.hasQuorum(now) {
+		l.countOrRelay(request, respond)
+		return
+	}
+	if !l.probeForQuorum(now) {
+		reply(nil, errNoQuorum)
+		return
+	}
+	// While nothing was limited, the counter nodes sent each other nothing. They may reply now.
+	time.AfterFunc(quorumWait, func() {
+		if !l.hasQuorum(time.Now()) {
+			reply(nil, errNoQuorum)
+			return
+		}
+		l.countOrRelay(request, respond)
+	})
+}
+
+// countOrRelay handles a request of another node. If this node is not the first in the limit's
+// order, it relays the request to the first, which the other node may have failed to reach.
+func (l *Limiter) countOrRelay(request TakeRequest, respond func(TakeReply)) {
+	limit, exists := l.limitOf(request)
+	if !exists {
+		// While a configuration change spreads, this node's configuration may be older or
+		// newer than that of the requesting node, which has the limit. The reply has no
+		// process, since nothing was counted that could be returned.
+		respond(TakeReply{Within: true, CountedBy: l.config.Address})
+		return
+	}
+	ranked := l.counters.ranked(request.Tenant)
+	if request.Relayed || len(ranked) == 0 || ranked[0] == l.config.Address || l.isUnreachable(ranked[0]) {
+		respond(l.countHere(limit, request))
+		return
+	}
+	relayed := request
+	relayed.Relayed = true
+	l.config.Transport.Call(ranked[0], relayed, takeTimeout/2, func(received peer.Message, err error) {
+		if reply, isReply := received.(TakeReply); err == nil && isReply {
+			respond(reply)
+			return
+		}
+		l.setUnreachable(ranked[0], true)
+		respond(l.countHere(limit, request))
+	})
+}
+
+// Return gives back what was taken for a request that was not executed, unless the limit's
+// window has passed since.
+func (l *Limiter) Return(request Request, verdict Verdict) {
+	if !verdict.Allowed || verdict.CountedBy == "" || time.Since(verdict.takenAt) > request.Limit.Window {
+		return
+	}
+	if verdict.CountedBy == l.config.Address {
+		l.meters.giveBack(request.Name, request.Cost, time.Now())
+		return
+	}
+	l.config.Transport.Send(verdict.CountedBy, ReturnMessage{Tenant: request.Name, Cost: request.Cost, Process: verdict.process})
+}
+
+// serveReturn handles a ReturnMessage of another node.
+func (l *Limiter) serveReturn(_ string, message peer.Message, reply func(peer.Message, error)) {
+	if returned := message.(ReturnMessage); returned.Process == l.process {
+		l.meters.giveBack(returned.Tenant, returned.Cost, time.Now())
+	}
+	reply(nil, nil)
+}
--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -58,17 +58,17 @@
 switch_off quota-given-back internal/forward/forwarder.go 'f.returnQuota(request)' '' ./platform
 switch_off tenant-before-route internal/fleet/priority.go 'ofTenant*len(r.ofRoutes)+ofRoute' 'ofRoute*len(r.ofTenants)+ofTenant' ./internal/fleet ./platform
 tenants=./internal/tenants
-switch_off quota-window internal/ratelimit/account.go 'if missing <= 0 && over <= 0 {' 'if missing <= 0 {' $tenants
-switch_off quota-surge internal/ratelimit/account.go 'if missing <= 0 && over <= 0 {' 'if over <= 0 {' $tenants
-switch_off quota-urgent-first internal/ratelimit/account.go 'share := reserveShare * rank' 'share := 0 * reserveShare * rank' $tenants
-switch_off quota-reserve-grows internal/ratelimit/account.go 'if !a.carefulFrom.IsZero() {' 'if false && !a.carefulFrom.IsZero() {' $tenants
-switch_off quota-small-pass internal/ratelimit/account.go 'min(cost/a.usualCost, 1)' 'min(1+cost/a.usualCost, 1)' $tenants
-switch_off quota-after-restart internal/ratelimit/account.go 'if running < limit.Window {' 'if false && running < limit.Window {' $tenants
-switch_off quota-heard internal/ratelimit/keeper.go 'if heard.Known {' 'if false && heard.Known {' $tenants
-switch_off quota-alone-share internal/ratelimit/alone.go 'if now.Before(next) {' 'if false && now.Before(next) {' $tenants
-switch_off quota-quorum internal/ratelimit/limiter.go '&& 2*heard > len(known)' '' $tenants
-switch_off quota-near-share internal/ratelimit/alone.go 'share = nearShare' 'share = 10 * nearShare' $tenants
-switch_off quota-next-counter internal/ratelimit/limiter.go 'mostAsked = 3' 'mostAsked = 1' $tenants
+switch_off quota-window internal/ratelimit/meter.go 'if missing <= 0 && over <= 0 {' 'if missing <= 0 {' $tenants
+switch_off quota-surge internal/ratelimit/meter.go 'if missing <= 0 && over <= 0 {' 'if over <= 0 {' $tenants
+switch_off quota-urgent-first internal/ratelimit/meter.go 'share := reserveShare * rank' 'share := 0 * reserveShare * rank' $tenants
+switch_off quota-reserve-grows internal/ratelimit/meter.go 'if !m.coldStartAt.IsZero() {' 'if false && !m.coldStartAt.IsZero() {' $tenants
+switch_off quota-small-pass internal/ratelimit/meter.go 'min(cost/m.averageCost, 1)' 'min(1+cost/m.averageCost, 1)' $tenants
+switch_off quota-after-restart internal/ratelimit/meter.go 'if running < limit.Window {' 'if false && running < limit.Window {' $tenants
+switch_off quota-heard internal/ratelimit/meters.go 'if heard.Known {' 'if false && heard.Known {' $tenants
+switch_off quota-alone-share internal/ratelimit/fallback.go 'if now.Before(next) {' 'if false && now.Before(next) {' $tenants
+switch_off quota-quorum internal/ratelimit/limiter.go '&& 2*reachable > len(addresses)' '' $tenants
+switch_off quota-near-share internal/ratelimit/fallback.go 'share = nearLimitShare' 'share = 10 * nearLimitShare' $tenants
+switch_off quota-next-counter internal/ratelimit/limiter.go 'maxAsked = 3' 'maxAsked = 1' $tenants
 switch_off quota-counters-kept internal/orders/counters.go 'h.config.SavedCounters.save(update.Counters, now)' '' ./platform
 switch_off quota-counters-told internal/orders/counters.go 'changed := collected &&' 'changed := false && collected &&' ./platform
 # Servers' limits.
@@ -76,10 +76,10 @@
 switch_off limit-turn internal/serverlimit/serverlimit.go 'if !limit.Named {
 		return Grant{Allowed: true}' 'if true {
 		return Grant{Allowed: true}' ./platform
-switch_off limit-by-each-node internal/ratelimit/ask.go 'ranked := l.counters.ranked(request.Name)' 'ranked := []string{l.config.Address}' ./internal/ratelimit ./platform
-switch_off limit-starts-empty internal/ratelimit/account.go 'a.level = 0' 'a.level = 3 * surge(limit)' ./platform ./internal/ratelimit
-switch_off limit-alone-waits internal/ratelimit/alone.go '(near || limit.Paced)' 'near' ./internal/ratelimit
-switch_off limit-of-earlier-build internal/ratelimit/ask.go 'answer.countedNothing() && !l.isKnown(request.Name)' 'false' ./internal/ratelimit
+switch_off limit-by-each-node internal/ratelimit/take.go 'ranked := l.counters.ranked(request.Name)' 'ranked := []string{l.config.Address}' ./internal/ratelimit ./platform
+switch_off limit-starts-empty internal/ratelimit/meter.go 'm.level = 0' 'm.level = 3 * bucketSize(limit)' ./platform ./internal/ratelimit
+switch_off limit-alone-waits internal/ratelimit/fallback.go '(nearLimit || limit.Paced)' 'nearLimit' ./internal/ratelimit
+switch_off limit-of-earlier-build internal/ratelimit/take.go 'reply.countedNothing() && !l.isConfigured(request.Name)' 'false' ./internal/ratelimit
 switch_off limit-told-by-holder internal/orders/limits.go 'due := version != after &&' 'due := false &&' ./platform
 switch_off limit-told-without-holder internal/orders/limits.go 'if len(limits) == 0 {' 'if len(limits) >= 0 {' ./platform
 switch_off limit-told-in-replies internal/orders/holder.go 'update.Limits, update.LimitsVersion =' '_, update.LimitsVersion =' ./platform
@@ -97,7 +97,7 @@
 switch_off counters-lost internal/orders/counters.go '|| now.Sub(h.countersMajorityAt) >= countersTimeout' '' ./platform
 switch_off poison-vouched internal/poison/spread.go 'if served := g.crashesWithServed(crashes); len(served) > 0 {' 'if served := g.crashesWithServed(crashes); len(served) < 0 {' ./internal/poison
 switch_off poison-never-served internal/poison/ledger.go 'len(unseen) > 0 {' 'false && len(unseen) > 0 {' ./internal/poison
-switch_off limit-quorum-wakes internal/ratelimit/ask.go 'if !l.lookAgain(now) {' 'if true {' ./platform ./internal/ratelimit
+switch_off limit-quorum-wakes internal/ratelimit/take.go 'if !l.probeForQuorum(now) {' 'if true {' ./platform ./internal/ratelimit
 switch_off first-loads-at-once internal/orders/ceiling.go 'if !l.measured && loadTime > 0 {' 'if false && !l.measured && loadTime > 0 {' ./internal/orders
 # Deadlines and callers that leave.
 switch_off route-timeout internal/forward/forwarder.go 'deadline := request.Accepted.Add(route.Timeout)' 'deadline := request.Accepted.Add(10 * route.Timeout)' $forward
