--- a/internal/placement/adapters.go
+++ b/internal/placement/adapters.go
@@ -5,34 +5,36 @@
 	"time"
 )
 
-// adapterWish is an adapter that is missing.
-type adapterWish struct {
+// wantedAdapter is an adapter that requests wait for and that no server holds.
+type wantedAdapter struct {
 	model, adapter string
 	demand         *AdapterDemand
 }
 
-// loadAdapters loads the adapters that requests wait for.
+// loadAdapters loads the adapters that requests wait for, the one with the most
+// waiting requests first.
 func (p *plan) loadAdapters() {
-	var wishes []adapterWish
+	var missing []wantedAdapter
 	for model, demand := range p.Demand {
-		for adapter, ofAdapter := range demand.Adapters {
-			if ofAdapter.Waiting > 0 && p.adapterHolders(model, adapter) == 0 {
-				wishes = append(wishes, adapterWish{model, adapter, ofAdapter})
+		for adapter, adapterDemand := range demand.Adapters {
+			if adapterDemand.Waiting > 0 && p.adapterHolders(model, adapter) == 0 {
+				missing = append(missing, wantedAdapter{model, adapter, adapterDemand})
 			}
 		}
 	}
-	sort.Slice(wishes, func(i, j int) bool {
-		if wishes[i].demand.Waiting != wishes[j].demand.Waiting {
-			return wishes[i].demand.Waiting > wishes[j].demand.Waiting
+	sort.Slice(missing, func(i, j int) bool {
+		if missing[i].demand.Waiting != missing[j].demand.Waiting {
+			return missing[i].demand.Waiting > missing[j].demand.Waiting
 		}
-		return wishes[i].model+"/"+wishes[i].adapter < wishes[j].model+"/"+wishes[j].adapter
+		return missing[i].model+"/"+missing[i].adapter < missing[j].model+"/"+missing[j].adapter
 	})
-	for _, wish := range wishes {
-		p.placeAdapter(wish)
+	for _, wanted := range missing {
+		p.placeAdapter(wanted)
 	}
 }
 
-// adapterHolders counts the servers that hold the adapter, or soon will, and stay.
+// adapterHolders counts the servers that hold or load the adapter and are neither
+// draining nor suspected.
 func (p *plan) adapterHolders(model, adapter string) int {
 	count := 0
 	for i := range p.Servers {
@@ -47,9 +49,9 @@
 	return count
 }
 
-// placeAdapter loads the adapter at the holder of its model with the most free
-// places, or makes a place where none is free.
-func (p *plan) placeAdapter(w adapterWish) {
+// placeAdapter loads the adapter on the server that holds its model with the fewest
+// adapters. If that server has no capacity left, another adapter is unloaded first.
+func (p *plan) placeAdapter(w wantedAdapter) {
 	var best *Server
 	for i := range p.Servers {
 		server := &p.Servers[i]
@@ -63,8 +65,8 @@
 	if best == nil {
 		return
 	}
-	p.taken[best.ID] = true
-	if p.adapterCount(best) < p.Engine.AdapterPlaces && p.free(best) >= p.Engine.Models[w.model].AdapterMB {
+	p.assigned[best.ID] = true
+	if p.adapterCount(best) < p.Engine.AdapterPlaces && p.freeMemory(best) >= p.Engine.Models[w.model].AdapterMB {
 		p.actions = append(p.actions, Action{Kind: LoadAdapter, Server: best.ID, Model: w.model, Adapter: w.adapter, Reason: "asked for"})
 		return
 	}
@@ -81,7 +83,7 @@
 	return count
 }
 
-// adapterVictim is the adapter that was not used for longest.
+// adapterVictim returns the least recently used adapter that may be unloaded.
 func (p *plan) adapterVictim(server *Server) (model, adapter string, found bool) {
 	var oldest time.Time
 	for name, replica := range server.Models {
@@ -99,12 +101,14 @@
 	return model, adapter, found
 }
 
+// adapterUse returns when an adapter was last used. It is busy, and must not be
+// unloaded, if it is in demand and only one server holds it.
 func (p *plan) adapterUse(model, adapter string) (last time.Time, busy bool) {
 	demand := p.Demand[model]
 	if demand == nil || demand.Adapters[adapter] == nil {
 		return time.Time{}, false
 	}
-	ofAdapter := demand.Adapters[adapter]
-	wanted := ofAdapter.Running+ofAdapter.Waiting > 0
-	return ofAdapter.LastUsed, wanted && p.adapterHolders(model, adapter) == 1
+	adapterDemand := demand.Adapters[adapter]
+	wanted := adapterDemand.Running+adapterDemand.Waiting > 0
+	return adapterDemand.LastUsed, wanted && p.adapterHolders(model, adapter) == 1
 }
--- a/internal/placement/benchmark_test.go
+++ b/internal/placement/benchmark_test.go
@@ -9,8 +9,8 @@
 	"github.com/hatchplank/hatchplank/internal/placement"
 )
 
-// busyInput is a pool in which most servers are full, most models are asked for and
-// one in twenty has no replica and is waited for.
+// busyInput returns a pool in which most servers are full and most models are requested;
+// requests wait for one model in twenty, which has no replica.
 func busyInput(servers, models int) *placement.Input {
 	in := &placement.Input{
 		Now: now, StoreLoads: 4, Demand: map[string]*placement.Demand{},
@@ -30,28 +30,28 @@
 	}
 	const held, copies = 3, 12
 	for i := range servers {
-		made := server(fmt.Sprintf("s%04d", i))
-		made.OnDisk = map[string]bool{}
+		result := server(fmt.Sprintf("s%04d", i))
+		result.OnDisk = map[string]bool{}
 		for j := range held {
 			model := (i*held + j) % models
 			if model%20 != 0 {
-				made.Models[fmt.Sprintf("m%d", model)] = placement.Replica{Since: now.Add(-time.Minute)}
+				result.Models[fmt.Sprintf("m%d", model)] = placement.Replica{Since: now.Add(-time.Minute)}
 			}
 		}
 		for j := range copies {
-			made.OnDisk[fmt.Sprintf("m%d", (i*5+j*37)%models)] = true
+			result.OnDisk[fmt.Sprintf("m%d", (i*5+j*37)%models)] = true
 		}
-		made.Busy = i%4 == 0
-		if made.Busy {
-			made.FreeIn = time.Duration(i%9) * 100 * time.Millisecond
+		result.Busy = i%4 == 0
+		if result.Busy {
+			result.FreeIn = time.Duration(i%9) * 100 * time.Millisecond
 		}
-		in.Servers = append(in.Servers, made)
+		in.Servers = append(in.Servers, result)
 	}
 	return in
 }
 
-// BenchmarkPlan is to stay under 2 ms for 60 servers and 200 models, and under 50 ms
-// for 1,000 and 1,100.
+// BenchmarkPlan measures one plan. The limits are 2 ms for 60 servers and 200 models, and
+// 50 ms for 1,000 servers and 1,100 models.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ servers, models int }{{10, 30}, {60, 200}, {250, 400}, {1000, 1100}} {
 		b.Run(fmt.Sprintf("servers=%d/models=%d", size.servers, size.models), func(b *testing.B) {
--- a/internal/placement/input.go
+++ b/internal/placement/input.go
@@ -3,8 +3,9 @@
 // and changes nothing. Its actions are checked again when they are carried out.
 //
 // It differs from package planner, which plans replicas in numbered slots of
-// cells, owned by epochs that the engines check: here one holder gives one order
-// at a time to each server, no order is fenced, and a load takes seconds.
+// cells whose owners' epochs are checked by the engines: here a single holder
+// sends each server one order at a time, orders carry no fencing token, and a
+// load takes seconds.
 package placement
 
 import (
@@ -15,20 +16,23 @@
 
 // Input is everything that a plan depends on.
 type Input struct {
-	Now    time.Time
+	Now time.Time
+	// Engine describes the pool's servers and the models that they may hold.
 	Engine *fleet.Engine
-	// Servers in order of ID: all, or those that actions may concern.
+	// Servers in order of ID: all of the pool, or a sample that actions are limited to.
 	Servers []Server
-	// ReplicasElsewhere counts the replicas by model at ServersElsewhere other servers.
+	// ReplicasElsewhere counts the replicas by model on the ServersElsewhere servers of the
+	// pool that are not in Servers.
 	ReplicasElsewhere map[string]int
 	ServersElsewhere  int
 	// Demand by model.
 	Demand map[string]*Demand
-	// LoadAhead: models that no server holds are loaded before they are asked for.
+	// LoadAhead allows loading models that no server holds before they are requested.
 	LoadAhead bool
 	// StoreLoads is how many loads from the weight store may begin now.
 	StoreLoads int
-	// NextStoreLoadIn is the time until one may begin, where none may now.
+	// NextStoreLoadIn is the time until the next load from the weight store may begin, if
+	// none may now.
 	NextStoreLoadIn time.Duration
 }
 
@@ -36,77 +40,79 @@
 type Server struct {
 	ID   string
 	Zone string
-	// Busy servers have an order under way and take no other.
+	// Busy servers take no order now.
 	Busy bool
-	// FreeIn is the time until the order under way is expected to have ended.
+	// FreeIn is the time until the server is expected to take the next order.
 	FreeIn time.Duration
-	// Draining servers finish their requests and take no new ones.
+	// Draining servers get no new work.
 	Draining bool
 	// Limited servers take MostPerSecond requests from all nodes together.
 	Limited      bool
 	MaxPerSecond float64
-	// Suspect servers did not answer lately; nothing is planned on them.
+	// Suspect servers did not answer recently; nothing is planned on them.
 	Suspect bool
-	// RecordOnly servers hold what their records show and take no orders yet.
+	// RecordOnly servers have not reported yet: Models is what their records show, and they
+	// take no orders.
 	RecordOnly bool
-	Models     map[string]Replica
+	// Models are the models held, by name.
+	Models map[string]Replica
 	// Loading is the model being loaded, if any.
 	Loading string
-	// UnconfirmedLoad is a model that the server was ordered to load without an answer: it
-	// may still load it, or never.
+	// UnconfirmedLoad is a model that the server was ordered to load, if the order was not
+	// answered: the server may load it or not.
 	UnconfirmedLoad string
 	// LoadingAdapter is the adapter being loaded, as MODEL/NAME, if any.
 	LoadingAdapter string
-	// Intent is the model for which room is being made, if any.
+	// Intent is the model for which memory is being freed, if any.
 	Intent string
-	// InMemory and OnDisk have copies of weights.
+	// InMemory and OnDisk are the models whose weights the server has cached there.
 	InMemory, OnDisk map[string]bool
 }
 
 // Replica is a model that a server holds.
 type Replica struct {
-	// Since is when it became ready here.
+	// Since is when the model became ready on the server.
 	Since time.Time
-	// Adapters held, with when they were last needed as far as known.
+	// Adapters that are loaded beside the model.
 	Adapters map[string]bool
 }
 
-// Demand for a model, over all nodes.
+// Demand is the demand for a model, summed over all nodes.
 type Demand struct {
-	// Waiting requests that no server can serve, or that were refused and told
-	// to come back.
+	// Waiting counts requests that no server can serve, and those that were refused and are
+	// expected to be retried.
 	Waiting int
-	// Priority is the most urgent of the waiting; 0 is highest.
+	// Priority is that of the most urgent waiting request; 0 is the highest.
 	Priority int
-	Running  int
-	// Rate of arrivals a second.
+	// Running counts requests that are being served.
+	Running int
+	// Rate is the arrival rate in requests per second.
 	Rate float64
-	// LastUsed is when the newest request came.
+	// LastUsed is when the latest request arrived.
 	LastUsed time.Time
 	Adapters map[string]*AdapterDemand
 }
 
-// AdapterDemand is the demand for one adapter.
+// AdapterDemand is the demand for one adapter; its fields are those of Demand.
 type AdapterDemand struct {
 	Waiting, Running int
 	Rate             float64
 	LastUsed         time.Time
 }
 
-// Result is a plan.
+// Result is what Plan returns.
 type Result struct {
-	// Actions are the orders to give now, at most one for each server, most urgent
-	// first.
+	// Actions are the orders to send now, at most one per server, most urgent first.
 	Actions []Action
-	// ReadyIn tells for each model that is waited for and that no server holds the
-	// time until one is expected to, undisturbed.
+	// ReadyIn is, for each model that is being loaded or that requests wait for without a
+	// replica, the time until the first server is expected to hold it.
 	ReadyIn map[string]time.Duration
 }
 
-// Kind of an action.
+// Kind is the kind of an action.
 type Kind uint8
 
-// The kinds.
+// The kinds of actions.
 const (
 	Load Kind = iota
 	Unload
@@ -114,12 +120,12 @@
 	UnloadAdapter
 )
 
-// String returns the kind's word for logs.
+// String returns the kind's name for logs.
 func (k Kind) String() string {
 	return [...]string{"load", "unload", "load_adapter", "unload_adapter"}[k]
 }
 
-// Source of weights.
+// Source is where a server reads a model's weights from.
 type Source uint8
 
 // The sources, fastest first.
@@ -129,20 +135,20 @@
 	FromStore
 )
 
-// String returns the source's word.
+// String returns the source's name.
 func (s Source) String() string { return [...]string{"memory", "disk", "store"}[s] }
 
-// Action is one order to give.
+// Action is one order to a server.
 type Action struct {
 	Kind    Kind
 	Server  string
 	Model   string
 	Adapter string
-	// Source of a load, and the time that a load or unload is expected to take.
+	// Source of a load, and the expected duration of a load or unload.
 	Source   Source
 	Expected time.Duration
-	// Intent is the model for which an unload makes room.
+	// Intent is the model for which an unload frees memory.
 	Intent string
-	// Reason is a word for the logs.
+	// Reason is a short text for the logs.
 	Reason string
 }
--- a/internal/placement/ahead_test.go
+++ b/internal/placement/load_ahead_test.go
@@ -11,9 +11,9 @@
 	"github.com/hatchplank/hatchplank/internal/placement"
 )
 
-// aheadInput has models of 70 GB, of which the first ones are held by a server each, and
-// servers with room for two.
-func aheadInput(servers, held, models int) *placement.Input {
+// loadAheadInput returns a pool of servers that have memory for two models each. The models
+// are of 70 GB; the first ones are held, each by one server.
+func loadAheadInput(servers, held, models int) *placement.Input {
 	in := &placement.Input{
 		Now: now, LoadAhead: true, StoreLoads: 4, Demand: map[string]*placement.Demand{},
 		Engine: &fleet.Engine{Slots: 64, MemoryMB: 200_000, AdapterPlaces: 8, LoadsPerSecond: 4, Models: map[string]*fleet.Model{}},
@@ -23,15 +23,16 @@
 		in.Engine.Models[name] = &fleet.Model{Name: name, SizeMB: 70_000, LoadTime: 6 * time.Second}
 	}
 	for i := range servers {
-		made := server(fmt.Sprintf("s%02d", i))
+		result := server(fmt.Sprintf("s%02d", i))
 		for j := i; j < held; j += servers {
-			made.Models[fmt.Sprintf("m%02d", j)] = placement.Replica{Since: now.Add(-time.Minute)}
+			result.Models[fmt.Sprintf("m%02d", j)] = placement.Replica{Since: now.Add(-time.Minute)}
 		}
-		in.Servers = append(in.Servers, made)
+		in.Servers = append(in.Servers, result)
 	}
 	return in
 }
 
+// loadsAhead returns the models that the plan loads, which must all be loads ahead.
 func loadsAhead(in *placement.Input) []string {
 	var models []string
 	for _, action := range placement.Plan(in).Actions {
@@ -42,37 +43,37 @@
 	return models
 }
 
-// A morning without requests: what nobody holds is loaded where memory is free, a few
-// models at a time.
-func TestModelsThatNobodyHoldsAreLoadedAhead(t *testing.T) {
+// Without any request, models that no server holds are loaded into free memory, a few at a
+// time.
+func TestModelsWithoutReplicaAreLoadedAhead(t *testing.T) {
 	RegisterTestingT(t)
-	Expect(loadsAhead(aheadInput(16, 20, 24))).To(Equal([]string{"m20", "m21"}), "an eighth of the servers")
-	Expect(loadsAhead(aheadInput(16, 24, 24))).To(BeEmpty(), "all are held")
-	Expect(loadsAhead(aheadInput(16, 20, 29))).To(BeEmpty(), "12 places are free for 9 models, most of which nobody may ask for")
-	Expect(loadsAhead(aheadInput(16, 32, 40))).To(BeEmpty(), "no memory is free")
+	Expect(loadsAhead(loadAheadInput(16, 20, 24))).To(Equal([]string{"m20", "m21"}), "at most an eighth of the servers load")
+	Expect(loadsAhead(loadAheadInput(16, 24, 24))).To(BeEmpty(), "all are held")
+	Expect(loadsAhead(loadAheadInput(16, 20, 29))).To(BeEmpty(), "12 servers with free memory for 9 models are too few")
+	Expect(loadsAhead(loadAheadInput(16, 32, 40))).To(BeEmpty(), "no memory is free")
 }
 
-func TestLoadsAheadLeaveTheStoreToWhoWaits(t *testing.T) {
+func TestLoadsAheadLeaveStoreLoadsToWaitingRequests(t *testing.T) {
 	RegisterTestingT(t)
-	in := aheadInput(16, 20, 24)
+	in := loadAheadInput(16, 20, 24)
 	in.StoreLoads = 1
-	Expect(loadsAhead(in)).To(BeEmpty(), "the last load stays")
-	in = aheadInput(16, 20, 24)
+	Expect(loadsAhead(in)).To(BeEmpty(), "the last store load is reserved")
+	in = loadAheadInput(16, 20, 24)
 	in.Demand["m22"] = &placement.Demand{Waiting: 1}
 	actions := placement.Plan(in).Actions
 	Expect(actions).To(HaveLen(1))
 	Expect(actions[0].Model).To(Equal("m22"))
 	Expect(actions[0].Reason).To(Equal("cold"))
-	in = aheadInput(16, 20, 24)
+	in = loadAheadInput(16, 20, 24)
 	in.Servers[0].Busy, in.Servers[0].Loading = true, "m21"
 	in.Servers[1].Busy, in.Servers[1].Loading = true, "m20"
-	Expect(loadsAhead(in)).To(BeEmpty(), "an eighth of the servers loads already")
+	Expect(loadsAhead(in)).To(BeEmpty(), "an eighth of the servers is loading already")
 }
 
-// In a pool that is planned with a sample, what is held elsewhere is held.
+// In a pool of which only a sample is planned, replicas outside the sample count as held.
 func TestReplicasElsewhereCount(t *testing.T) {
 	RegisterTestingT(t)
-	in := aheadInput(16, 20, 24)
+	in := loadAheadInput(16, 20, 24)
 	in.ReplicasElsewhere, in.ServersElsewhere = map[string]int{"m20": 1, "m21": 3}, 1000
 	Expect(loadsAhead(in)).To(Equal([]string{"m22", "m23"}))
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -20,7 +20,7 @@
 
 var now = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
-// testEngine has six models of 70 GB for servers of 200 GB.
+// testEngine returns an engine with six models of 70 GB for servers of 200 GB.
 func testEngine() *fleet.Engine {
 	engine := &fleet.Engine{Slots: 64, MemoryMB: 200_000, AdapterPlaces: 2, LoadsPerSecond: 4, Models: map[string]*fleet.Model{}}
 	for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
@@ -33,11 +33,11 @@
 }
 
 func server(id string, models ...string) placement.Server {
-	made := placement.Server{ID: id, Zone: "z", Models: map[string]placement.Replica{}}
+	result := placement.Server{ID: id, Zone: "z", Models: map[string]placement.Replica{}}
 	for _, model := range models {
-		made.Models[model] = placement.Replica{Since: now.Add(-time.Minute), Adapters: map[string]bool{}}
+		result.Models[model] = placement.Replica{Since: now.Add(-time.Minute), Adapters: map[string]bool{}}
 	}
-	return made
+	return result
 }
 
 func waiting(count int) *placement.Demand {
@@ -53,7 +53,7 @@
 }
 
 var _ = Describe("loads", func() {
-	It("load what is waited for where there is room", func() {
+	It("go to a server with free memory", func() {
 		actions := placement.Plan(input(map[string]*placement.Demand{"c": waiting(1)}, server("1", "a", "b"), server("2", "a"))).Actions
 		Expect(actions).To(HaveLen(1))
 		Expect(actions[0].Kind).To(Equal(placement.Load))
@@ -61,7 +61,7 @@
 		Expect(actions[0].Source).To(Equal(placement.FromStore))
 	})
 
-	It("take a copy in memory or on disk before the store", func() {
+	It("prefer a copy in memory or on disk to the store", func() {
 		disk, memory := server("2"), server("3")
 		disk.OnDisk = map[string]bool{"c": true}
 		memory.InMemory, memory.OnDisk = map[string]bool{"c": true}, map[string]bool{"c": true}
@@ -70,7 +70,7 @@
 		Expect(actions[0].Expected).To(Equal(500 * time.Millisecond))
 	})
 
-	It("that make room in one plan leave a model in use what it needs", func() {
+	It("that need evictions leave a model in use one replica within one plan", func() {
 		used := &placement.Demand{Rate: 5, Running: 0, LastUsed: now, Adapters: map[string]*placement.AdapterDemand{}}
 		busy := &placement.Demand{Rate: 5, Running: 30, LastUsed: now, Adapters: map[string]*placement.AdapterDemand{}}
 		demand := map[string]*placement.Demand{"a": used, "b": busy, "c": waiting(1), "d": waiting(1), "e": waiting(1), "f": waiting(1)}
@@ -83,14 +83,14 @@
 		Expect(unloads).To(BeNumerically("<=", 3), "one replica stays")
 	})
 
-	It("of further replicas don't begin again while one may still be carried out", func() {
+	It("of further replicas are not repeated while an unanswered order may still be carried out", func() {
 		crowded := &placement.Demand{Running: 12, Rate: 5, LastUsed: now, Adapters: map[string]*placement.AdapterDemand{}}
 		servers := []placement.Server{server("1", "c"), server("2"), server("3"), server("4"), server("5"), server("6")}
 		Expect(placement.Plan(input(map[string]*placement.Demand{"c": crowded}, servers...)).Actions).To(HaveLen(1))
 		servers[1].UnconfirmedLoad = "c"
 		Expect(placement.Plan(input(map[string]*placement.Demand{"c": crowded}, servers...)).Actions).To(BeEmpty())
 		servers[0] = server("1")
-		Expect(placement.Plan(input(map[string]*placement.Demand{"c": waiting(1)}, servers...)).Actions).NotTo(BeEmpty(), "who waits can't rely on it")
+		Expect(placement.Plan(input(map[string]*placement.Demand{"c": waiting(1)}, servers...)).Actions).NotTo(BeEmpty(), "a cold model does not rely on it")
 	})
 
 	DescribeTable("don't begin", func(change func(in *placement.Input)) {
@@ -103,7 +103,7 @@
 		Entry("on a leaving server", func(in *placement.Input) { in.Servers[0].Draining = true }),
 		Entry("on a server that does not answer", func(in *placement.Input) { in.Servers[0].Suspect = true }),
 		Entry("beyond the store's rate", func(in *placement.Input) { in.StoreLoads = 0 }),
-		Entry("of a model that is not known", func(in *placement.Input) {
+		Entry("of a model that is not configured", func(in *placement.Input) {
 			in.Demand = map[string]*placement.Demand{"unknown": waiting(1)}
 		}),
 	)
@@ -116,7 +116,7 @@
 		Expect(placement.Plan(in).Actions).To(HaveLen(1))
 	})
 
-	It("take models without any replica first, then who waits most", func() {
+	It("are ordered by cold models first, then by waiting requests", func() {
 		in := input(map[string]*placement.Demand{"b": waiting(1), "c": waiting(5), "a": waiting(30)}, server("1", "a"), server("2"), server("3"))
 		in.StoreLoads = 2
 		actions := placement.Plan(in).Actions
@@ -125,16 +125,16 @@
 		Expect(actions[1].Model).To(Equal("b"))
 	})
 
-	It("give a model that is asked for often a second replica", func() {
-		often := idle(2, 0)
-		actions := placement.Plan(input(map[string]*placement.Demand{"a": often}, server("1", "a"), server("2"), server("3"), server("4"), server("5"), server("6"))).Actions
+	It("give a frequently requested model a second replica", func() {
+		frequent := idle(2, 0)
+		actions := placement.Plan(input(map[string]*placement.Demand{"a": frequent}, server("1", "a"), server("2"), server("3"), server("4"), server("5"), server("6"))).Actions
 		Expect(actions).To(HaveLen(1))
 		Expect(actions[0].Model).To(Equal("a"))
 	})
 })
 
-var _ = Describe("room", func() {
-	It("is made by the model that is least likely to be asked for", func() {
+var _ = Describe("memory", func() {
+	It("is freed by the model that is least likely to be requested", func() {
 		demand := map[string]*placement.Demand{"c": waiting(1), "a": idle(0.5, time.Second), "b": idle(0.05, 20*time.Second)}
 		actions := placement.Plan(input(demand, server("1", "a", "b"))).Actions
 		Expect(actions).To(HaveLen(1))
@@ -143,17 +143,17 @@
 		Expect(actions[0].Intent).To(Equal("c"))
 	})
 
-	It("is kept for the model it was made for", func() {
-		made := server("1", "a")
-		made.Intent = "c"
+	It("is kept for the model that it was freed for", func() {
+		target := server("1", "a")
+		target.Intent = "c"
 		demand := map[string]*placement.Demand{"c": waiting(1), "d": waiting(9)}
-		actions := placement.Plan(input(demand, made)).Actions
+		actions := placement.Plan(input(demand, target)).Actions
 		Expect(actions).To(HaveLen(1))
 		Expect(actions[0].Kind).To(Equal(placement.Load))
 		Expect(actions[0].Model).To(Equal("c"))
 	})
 
-	DescribeTable("is not made by", func(change func(in *placement.Input)) {
+	DescribeTable("is not freed by", func(change func(in *placement.Input)) {
 		in := input(map[string]*placement.Demand{"c": waiting(1), "a": idle(0.1, 0), "b": idle(0.1, 0)}, server("1", "a", "b"))
 		change(in)
 		Expect(placement.Plan(in).Actions).To(BeEmpty())
@@ -168,32 +168,32 @@
 		}),
 	)
 
-	It("is not made for more replicas at the cost of another model's only one", func() {
+	It("is not freed for further replicas by another model's only one", func() {
 		demand := map[string]*placement.Demand{"a": {Waiting: 40, Rate: 5, LastUsed: now}, "b": idle(0.2, 0), "c": idle(0.2, 0)}
 		Expect(placement.Plan(input(demand, server("1", "a"), server("2", "b", "c"))).Actions).To(HaveLen(0))
 	})
 })
 
 var _ = Describe("adapters", func() {
-	asks := func(adapter string) map[string]*placement.Demand {
+	demandFor := func(adapter string) map[string]*placement.Demand {
 		demand := waiting(1)
 		demand.Adapters[adapter] = &placement.AdapterDemand{Waiting: 1, LastUsed: now}
 		return map[string]*placement.Demand{"a": demand}
 	}
 
-	It("go to the holder of their model with the most free places", func() {
+	It("go to the holder of their model with the fewest adapters", func() {
 		full := server("1", "a")
 		full.Models["a"] = placement.Replica{Adapters: map[string]bool{"a1": true}}
-		actions := placement.Plan(input(asks("a2"), full, server("2", "a"))).Actions
+		actions := placement.Plan(input(demandFor("a2"), full, server("2", "a"))).Actions
 		Expect(actions).To(HaveLen(1))
 		Expect(actions[0].Kind).To(Equal(placement.LoadAdapter))
 		Expect(actions[0].Server).To(Equal("2"))
 	})
 
-	It("take the place of the one that was not used for longest", func() {
+	It("replace the least recently used one", func() {
 		full := server("1", "a")
 		full.Models["a"] = placement.Replica{Adapters: map[string]bool{"a1": true, "a3": true}}
-		demand := asks("a2")
+		demand := demandFor("a2")
 		demand["a"].Adapters["a1"] = &placement.AdapterDemand{LastUsed: now.Add(-time.Second)}
 		demand["a"].Adapters["a3"] = &placement.AdapterDemand{LastUsed: now.Add(-time.Minute)}
 		actions := placement.Plan(input(demand, full)).Actions
@@ -202,28 +202,28 @@
 		Expect(actions[0].Adapter).To(Equal("a3"))
 	})
 
-	It("are not loaded twice while one is on its way", func() {
+	It("are not loaded again while a load is under way", func() {
 		coming := server("1", "a")
 		coming.Busy = true
 		coming.LoadingAdapter = "a/a2"
-		Expect(placement.Plan(input(asks("a2"), coming, server("2", "a"))).Actions).To(BeEmpty())
+		Expect(placement.Plan(input(demandFor("a2"), coming, server("2", "a"))).Actions).To(BeEmpty())
 	})
 })
 
-// drawInput makes any state, also ones that should not come about.
+// drawInput draws an arbitrary state, including states that should not occur.
 func drawInput(t *rapid.T) *placement.Input {
 	in := input(map[string]*placement.Demand{})
 	models := []string{"a", "b", "c", "d", "e", "f"}
 	for i := range rapid.IntRange(1, 5).Draw(t, "servers") {
 		held := rapid.SliceOfNDistinct(rapid.SampledFrom(models), 0, 2, rapid.ID).Draw(t, "models")
-		made := server(fmt.Sprint(i), held...)
-		made.Busy, made.Draining, made.Suspect = rapid.Bool().Draw(t, "busy"), rapid.Bool().Draw(t, "leaving"), rapid.Bool().Draw(t, "suspect")
-		made.Intent = rapid.SampledFrom(append(models, "")).Draw(t, "intent")
-		if made.Busy {
-			made.FreeIn = time.Duration(rapid.IntRange(0, 3000).Draw(t, "free in")) * time.Millisecond
+		target := server(fmt.Sprint(i), held...)
+		target.Busy, target.Draining, target.Suspect = rapid.Bool().Draw(t, "busy"), rapid.Bool().Draw(t, "leaving"), rapid.Bool().Draw(t, "suspect")
+		target.Intent = rapid.SampledFrom(append(models, "")).Draw(t, "intent")
+		if target.Busy {
+			target.FreeIn = time.Duration(rapid.IntRange(0, 3000).Draw(t, "free in")) * time.Millisecond
 		}
-		made.OnDisk = map[string]bool{rapid.SampledFrom(models).Draw(t, "disk"): true}
-		in.Servers = append(in.Servers, made)
+		target.OnDisk = map[string]bool{rapid.SampledFrom(models).Draw(t, "disk"): true}
+		in.Servers = append(in.Servers, target)
 	}
 	for _, model := range models {
 		demand := waiting(rapid.IntRange(0, 20).Draw(t, "waiting"))
@@ -238,7 +238,7 @@
 }
 
 var _ = Describe("any plan", func() {
-	It("fits, gives a server one order, and repeats", func() {
+	It("fits, gives a server at most one order, and is deterministic", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			in := drawInput(t)
 			actions := placement.Plan(in).Actions
@@ -252,7 +252,7 @@
 })
 
 func checkPlan(t *rapid.T, in *placement.Input, actions []placement.Action) {
-	given := map[string]bool{}
+	ordered := map[string]bool{}
 	storeLoads := 0
 	for _, action := range actions {
 		var target *placement.Server
@@ -261,16 +261,16 @@
 				target = &in.Servers[i]
 			}
 		}
-		if given[action.Server] || target.Busy || target.Draining || target.Suspect {
-			t.Fatalf("%v: the server takes no order", action)
+		if ordered[action.Server] || target.Busy || target.Draining || target.Suspect {
+			t.Fatalf("%v: the server takes no order in this plan", action)
 		}
-		given[action.Server] = true
+		ordered[action.Server] = true
 		_, holds := target.Models[action.Model]
 		if holds != (action.Kind != placement.Load) {
 			t.Fatalf("%v: holds is %v", action, holds)
 		}
 		if action.Kind == placement.Load && len(target.Models) > 1 {
-			t.Fatalf("%v: no room beside %v", action, target.Models)
+			t.Fatalf("%v: no free memory beside %v", action, target.Models)
 		}
 		if action.Kind == placement.Load && action.Source == placement.FromStore {
 			storeLoads++
@@ -292,7 +292,7 @@
 		Expect(planned.ReadyIn["c"]).To(Equal(1300 * time.Millisecond))
 	})
 
-	It("loads from the store what a busy server would have later", func() {
+	It("loads from the store if a busy server with a copy would be ready later", func() {
 		busy := server("1")
 		busy.OnDisk = map[string]bool{"c": true}
 		busy.Busy, busy.FreeIn = true, 5*time.Second
@@ -302,14 +302,14 @@
 		Expect(planned.ReadyIn["c"]).To(Equal(2 * time.Second))
 	})
 
-	It("tells when a model will be there that is being loaded", func() {
+	It("returns when a model that is being loaded will be ready", func() {
 		loading := server("1")
 		loading.Busy, loading.Loading, loading.FreeIn = true, "c", 700*time.Millisecond
 		planned := placement.Plan(input(map[string]*placement.Demand{"c": waiting(1)}, loading))
 		Expect(planned.ReadyIn).To(Equal(map[string]time.Duration{"c": 700 * time.Millisecond}))
 	})
 
-	It("counts the time until the store allows a load", func() {
+	It("includes the time until the store allows a load", func() {
 		in := input(map[string]*placement.Demand{"c": waiting(1)}, server("1"))
 		in.StoreLoads, in.NextStoreLoadIn = 0, 400*time.Millisecond
 		planned := placement.Plan(in)
@@ -317,21 +317,21 @@
 		Expect(planned.ReadyIn["c"]).To(Equal(2400 * time.Millisecond))
 	})
 
-	It("promises nothing sooner than a load takes", func() {
+	It("expects no model sooner than its load takes", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			in := drawInput(t)
 			for model, ready := range placement.Plan(in).ReadyIn {
-				least := time.Hour
+				minReadyIn := time.Hour
 				for i := range in.Servers {
 					server := &in.Servers[i]
 					if server.Loading == model {
-						least = 0
+						minReadyIn = 0
 					}
 					_, load := placement.SourceOf(server, in.Engine.Models[model])
-					least = min(least, server.FreeIn+load)
+					minReadyIn = min(minReadyIn, server.FreeIn+load)
 				}
-				if ready < least {
-					t.Fatalf("%s is promised in %v, a load takes %v", model, ready, least)
+				if ready < minReadyIn {
+					t.Fatalf("%s is expected in %v, a load takes %v", model, ready, minReadyIn)
 				}
 			}
 		})
@@ -339,7 +339,7 @@
 })
 
 var _ = Describe("a server with a copy is waited for", func() {
-	// The other server has room, but would load from the store for 8 s.
+	// The other server has free memory, but its load from the store takes 8 s.
 	planFor := func(change func(in *placement.Input, copyHolder *placement.Server)) placement.Result {
 		copyHolder := server("1", "a", "b")
 		copyHolder.OnDisk = map[string]bool{"c": true}
@@ -349,7 +349,7 @@
 		return placement.Plan(in)
 	}
 
-	It("while its models run, if they will be idle soon", func() {
+	It("while its models have running requests, if they will be idle soon", func() {
 		planned := planFor(func(in *placement.Input, _ *placement.Server) {
 			in.Demand["a"].Running, in.Demand["a"].Rate = 1, 4
 			in.Demand["b"].Running, in.Demand["b"].Rate = 2, 0.1
@@ -358,7 +358,7 @@
 		Expect(planned.ReadyIn["c"]).To(Equal(300*time.Millisecond + 950*time.Millisecond))
 	})
 
-	It("not while its models run for long", func() {
+	It("but not while its models have many running requests", func() {
 		planned := planFor(func(in *placement.Input, _ *placement.Server) {
 			in.Demand["a"].Running, in.Demand["a"].Rate = 9, 2
 			in.Demand["b"].Running, in.Demand["b"].Rate = 9, 2
@@ -376,7 +376,7 @@
 		Expect(planned.ReadyIn["c"]).To(Equal(300*time.Millisecond + 950*time.Millisecond))
 	})
 
-	It("while room is made there for another model", func() {
+	It("while memory is freed there for another model", func() {
 		planned := planFor(func(in *placement.Input, copyHolder *placement.Server) {
 			copyHolder.Busy, copyHolder.FreeIn, copyHolder.Intent = true, 100*time.Millisecond, "d"
 			copyHolder.InMemory = map[string]bool{"d": true}
@@ -390,10 +390,10 @@
 })
 
 var _ = Describe("adapters that are waited for", func() {
-	It("come before a model's load at the same server", func() {
+	It("come before a model's load on the same server", func() {
 		// Found in sofrakod-yemekhane's scale-1, seed 13: a new server loaded three
-		// models one after the other, 18 s in which eight adapters that were asked
-		// for again and again had no server.
+		// models one after the other, which took 18 s; eight adapters that were
+		// requested repeatedly had no server in that time.
 		demand := map[string]*placement.Demand{"a": waiting(1), "c": waiting(5)}
 		demand["a"].Adapters["a1"] = &placement.AdapterDemand{Waiting: 1}
 		actions := placement.Plan(input(demand, server("1", "a"))).Actions
@@ -401,7 +401,7 @@
 		Expect(actions[0].Kind).To(Equal(placement.LoadAdapter))
 	})
 
-	It("are loaded at a server that a model waits for", func() {
+	It("are loaded on a server that a model's load has to wait for", func() {
 		holder := server("1", "a", "b")
 		holder.OnDisk = map[string]bool{"c": true}
 		demand := map[string]*placement.Demand{"a": waiting(1), "b": idle(1, 0), "c": waiting(5)}
@@ -412,7 +412,7 @@
 		Expect(actions[0].Kind).To(Equal(placement.LoadAdapter))
 	})
 
-	It("do not give way to each other", func() {
+	It("are not evicted for each other", func() {
 		full := server("1", "a")
 		full.Models["a"] = placement.Replica{Adapters: map[string]bool{"a1": true, "a2": true}}
 		demand := map[string]*placement.Demand{"a": waiting(3)}
@@ -423,8 +423,8 @@
 	})
 })
 
-var _ = Describe("nonsense in the configuration", func() {
-	DescribeTable("harms no other model", func(change func(model *fleet.Model), mayLoad bool) {
+var _ = Describe("an implausible configuration", func() {
+	DescribeTable("of one model does not affect others", func(change func(model *fleet.Model), mayLoad bool) {
 		in := input(map[string]*placement.Demand{"c": waiting(9), "d": waiting(1)}, server("1"), server("2"))
 		change(in.Engine.Models["c"])
 		loaded := map[string]bool{}
@@ -441,7 +441,7 @@
 		Entry("no load times", func(model *fleet.Model) { model.LoadTime, model.WarmTime, model.DiskTime = 0, 0, 0 }, true),
 	)
 
-	It("a server that holds an unknown model takes nothing else", func() {
+	It("loads nothing on a server that holds a model that is not configured", func() {
 		in := input(map[string]*placement.Demand{"c": waiting(1)}, server("1", "unknown"))
 		Expect(placement.Plan(in).Actions).To(BeEmpty())
 	})
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -9,65 +9,67 @@
 )
 
 const (
-	// runningPerReplica is how many running requests of a model call for one
-	// more replica.
+	// runningPerReplica is how many running or waiting requests call for one replica
+	// of a model.
 	runningPerReplica = 8
-	// sharedRate of arrivals a second, from which on a model has two replicas,
+	// redundancyRate is the arrival rate per second from which a model gets two replicas,
 	// so that the loss of one does not leave it cold.
-	sharedRate = 1.0
-	// surplusFactor: replicas beyond this many times the need are surplus.
+	redundancyRate = 1.0
+	// surplusFactor is the multiple of the needed replicas beyond which replicas are
+	// surplus.
 	surplusFactor = 1.6
-	// residency protects a replica from giving way right after its load.
-	residency = 2 * time.Second
-	// adapterPlaceShare is the share of the places that adapters in use may take.
-	adapterPlaceShare = 0.6
-	// defaultLoadTime of a model that does not tell its own.
+	// minResidency is how long a replica is protected from eviction after its load.
+	minResidency = 2 * time.Second
+	// maxActiveAdapterShare is the share of a server's adapter capacity that adapters in
+	// use should take; above it the model gets another replica.
+	maxActiveAdapterShare = 0.6
+	// defaultLoadTime is assumed for models that are configured without a load time.
 	defaultLoadTime = 2 * time.Second
 )
 
-// Plan returns the orders to give now, and when models that are waited for will
-// be there.
+// Plan returns the orders to send now, and when the models that requests wait for are
+// expected to be ready.
 func Plan(input *Input) Result {
 	p := newPlan(input)
-	// An adapter takes a few milliseconds, a model seconds in which its server takes
-	// no adapters.
+	// Adapters come first: an adapter's load takes a few milliseconds, a model's seconds
+	// in which its server takes no adapters.
 	p.loadAdapters()
 	p.loadModels()
 	return Result{Actions: p.actions, ReadyIn: p.readyIn}
 }
 
-// plan is the work on one input.
+// plan is the state of one Plan call.
 type plan struct {
 	*Input
 	actions []Action
-	// taken servers got an action in this plan; reserved ones are waited for by a
-	// model, and take none for another.
-	taken, reserved map[string]bool
-	// replicas by model that are ready on servers that stay.
+	// assigned servers got an action in this plan; reserved servers are kept for a replica
+	// whose first order can't be sent yet, and get no action for another model.
+	assigned, reserved map[string]bool
+	// ready replicas by model, without those on draining or suspected servers.
 	ready map[string]int
-	// coming replicas by model: loading, or with room being made.
-	coming map[string]int
-	// doubtful replicas by model, which may come.
-	doubtful map[string]int
+	// pending replicas by model: loading, or with memory being freed for them.
+	pending map[string]int
+	// unconfirmed replicas by model: their load was ordered without an answer.
+	unconfirmed map[string]int
 	// limited replicas by model.
 	limited map[string]limitedReplicas
-	// storeLoads left.
+	// storeLoads is how many loads from the weight store are left.
 	storeLoads int
 	readyIn    map[string]time.Duration
 	// zones in which a model is held.
 	zones map[modelZone]bool
-	// desiredBy and crowdedBy keep what was computed for a model and a server.
-	desiredBy map[string]int
-	crowdedBy map[string]float64
+	// desiredByModel and crowdingByServer cache the results of desired and crowding.
+	desiredByModel   map[string]int
+	crowdingByServer map[string]float64
 }
 
 type modelZone struct{ model, zone string }
 
 func newPlan(input *Input) *plan {
 	p := &plan{
-		Input: input, taken: map[string]bool{}, reserved: map[string]bool{}, ready: map[string]int{}, coming: map[string]int{},
-		doubtful: map[string]int{}, limited: map[string]limitedReplicas{}, storeLoads: input.StoreLoads, readyIn: map[string]time.Duration{},
-		zones: map[modelZone]bool{}, desiredBy: map[string]int{}, crowdedBy: map[string]float64{},
+		Input: input, assigned: map[string]bool{}, reserved: map[string]bool{}, ready: map[string]int{}, pending: map[string]int{},
+		unconfirmed: map[string]int{}, limited: map[string]limitedReplicas{}, storeLoads: input.StoreLoads, readyIn: map[string]time.Duration{},
+		zones: map[modelZone]bool{}, desiredByModel: map[string]int{}, crowdingByServer: map[string]float64{},
 	}
 	maps.Copy(p.ready, input.ReplicasElsewhere)
 	for i := range input.Servers {
@@ -76,7 +78,7 @@
 			p.zones[modelZone{model, server.Zone}] = true
 		}
 		if server.UnconfirmedLoad != "" {
-			p.doubtful[server.UnconfirmedLoad]++
+			p.unconfirmed[server.UnconfirmedLoad]++
 		}
 		if server.Draining || server.Suspect {
 			continue
@@ -88,40 +90,41 @@
 			}
 		}
 		if server.Loading != "" {
-			p.coming[server.Loading]++
-			p.promise(server.Loading, server.FreeIn)
+			p.pending[server.Loading]++
+			p.recordReadyIn(server.Loading, server.FreeIn)
 		}
 		if server.Intent != "" && server.Intent != server.Loading {
-			p.coming[server.Intent]++
-			p.promiseIntent(server)
+			p.pending[server.Intent]++
+			p.recordIntentReadyIn(server)
 		}
 	}
 	return p
 }
 
-// desired is how many replicas the demand calls for.
+// desired returns how many replicas the demand calls for.
 func (p *plan) desired(model string, demand *Demand) int {
-	count, known := p.desiredBy[model]
+	count, known := p.desiredByModel[model]
 	if !known {
 		count = p.countDesired(model, demand)
-		p.desiredBy[model] = count
+		p.desiredByModel[model] = count
 	}
 	return count
 }
 
 func (p *plan) countDesired(model string, demand *Demand) int {
 	need := (demand.Running + demand.Waiting + runningPerReplica - 1) / runningPerReplica
-	if demand.Rate >= sharedRate {
+	if demand.Rate >= redundancyRate {
 		need = max(need, 2)
 	}
 	need = max(need, p.replicasForAdapters(demand))
 	if demand.Waiting > 0 {
 		need = max(need, 1)
 	}
-	return min(need, max((len(p.Servers)+p.ServersElsewhere)/3, 1)) + p.replicasOfLittleUse(model, demand)
+	return min(need, max((len(p.Servers)+p.ServersElsewhere)/3, 1)) + p.saturatedReplicas(model, demand)
 }
 
-// limitedReplicas are those of a model at servers with limits.
+// limitedReplicas are a model's replicas on servers with a rate limit, with the sum of
+// the limits in requests per second.
 type limitedReplicas struct {
 	count     int
 	perSecond float64
@@ -131,11 +134,11 @@
 	return limitedReplicas{count: l.count + 1, perSecond: l.perSecond + perSecond}
 }
 
-// replicasOfLittleUse are those at servers with limits, where the model is asked for more often
-// than they take: others are needed beside them. Of a model that is asked for 10 times a second
-// and whose only server takes 0.5, 13 of 202 requests were served in 20 s without this, and 193
-// of 202 with it (virtual time, a load of 1 s).
-func (p *plan) replicasOfLittleUse(model string, demand *Demand) int {
+// saturatedReplicas returns how many replicas are on rate-limited servers if these take fewer
+// requests than arrive: as many others are needed beside them. For a model with 10 requests a
+// second whose only server takes 0.5, 13 of 202 requests were served in 20 s without this, and
+// 193 of 202 with it (virtual time, a load of 1 s).
+func (p *plan) saturatedReplicas(model string, demand *Demand) int {
 	limited := p.limited[model]
 	if demand.Rate <= limited.perSecond {
 		return 0
@@ -143,7 +146,8 @@
 	return limited.count
 }
 
-// replicasForAdapters holds the adapters that are in use at once.
+// replicasForAdapters returns how many replicas are needed to hold the adapters that are in
+// use at the same time.
 func (p *plan) replicasForAdapters(demand *Demand) int {
 	inUse := 0
 	for _, adapter := range demand.Adapters {
@@ -151,57 +155,58 @@
 			inUse++
 		}
 	}
-	places := adapterPlaceShare * float64(p.Engine.AdapterPlaces)
+	places := maxActiveAdapterShare * float64(p.Engine.AdapterPlaces)
 	if places < 1 || inUse == 0 {
 		return 0
 	}
 	return int(float64(inUse)/places) + 1
 }
 
-// wish is a replica that is missing.
-type wish struct {
+// wantedReplica is a replica that the demand calls for and that is missing.
+type wantedReplica struct {
 	model  *fleet.Model
 	demand *Demand
-	// cold: no replica is ready or coming.
+	// cold is set if no replica of the model is ready or pending.
 	cold bool
 }
 
-// loadModels loads what room was made for, and then what demand lacks: models
-// without any replica first.
+// loadModels loads the models for which memory was freed, and then the replicas that the
+// demand calls for: models without any replica first.
 func (p *plan) loadModels() {
 	p.continueIntents()
-	wishes := p.wishes()
-	for _, wish := range wishes {
-		p.place(wish)
+	wanted := p.wantedReplicas()
+	for _, replica := range wanted {
+		p.place(replica)
 	}
-	if p.LoadAhead && len(wishes) == 0 {
+	if p.LoadAhead && len(wanted) == 0 {
 		p.loadAhead()
 	}
 }
 
-func (p *plan) wishes() []wish {
-	var wishes []wish
+func (p *plan) wantedReplicas() []wantedReplica {
+	var wanted []wantedReplica
 	for name, demand := range p.Demand {
 		model := p.Engine.Models[name]
 		if model == nil {
 			continue
 		}
-		have := p.ready[name] + p.coming[name]
+		have := p.ready[name] + p.pending[name]
 		cold := have == 0
 		if !cold {
-			// Who waits for a cold model can't rely on an order without an answer.
-			have += p.doubtful[name]
+			// For a cold model, an order that was not answered is not relied upon.
+			have += p.unconfirmed[name]
 		}
 		if have < p.desired(name, demand) {
-			wishes = append(wishes, wish{model: model, demand: demand, cold: cold})
+			wanted = append(wanted, wantedReplica{model: model, demand: demand, cold: cold})
 		}
 	}
-	sort.Slice(wishes, func(i, j int) bool { return wishes[i].before(wishes[j]) })
-	return wishes
+	sort.Slice(wanted, func(i, j int) bool { return wanted[i].before(wanted[j]) })
+	return wanted
 }
 
-// before orders by what a load is worth.
-func (w wish) before(other wish) bool {
+// before orders wanted replicas by the benefit of their loads: cold models first, then by
+// waiting requests and by rate.
+func (w wantedReplica) before(other wantedReplica) bool {
 	if w.cold != other.cold {
 		return w.cold
 	}
@@ -214,8 +219,7 @@
 	return w.model.Name < other.model.Name
 }
 
-// continueIntents loads the models for which room was made, if they are still
-// needed.
+// continueIntents loads the models for which memory was freed, if they are still needed.
 func (p *plan) continueIntents() {
 	for i := range p.Servers {
 		server := &p.Servers[i]
@@ -230,25 +234,28 @@
 	}
 }
 
-// stillNeeded: the model's demand calls for all replicas that are coming.
+// stillNeeded reports whether the model's demand calls for all its ready and pending
+// replicas.
 func (p *plan) stillNeeded(model string) bool {
 	demand := p.Demand[model]
-	return demand != nil && p.ready[model]+p.coming[model] <= p.desired(model, demand)
+	return demand != nil && p.ready[model]+p.pending[model] <= p.desired(model, demand)
 }
 
+// usable reports whether the server may get an order in this plan.
 func (p *plan) usable(server *Server) bool {
-	return !server.Busy && !server.Draining && !server.Suspect && !server.RecordOnly && !p.taken[server.ID]
+	return !server.Busy && !server.Draining && !server.Suspect && !server.RecordOnly && !p.assigned[server.ID]
 }
 
-// place finds the server where a replica costs least, first of all time. If that
-// server can't begin now, it is kept for the replica, and no order is given.
-func (p *plan) place(w wish) {
+// place finds the server where the replica has the lowest cost, which is mainly the time
+// until it is ready. If that server can't begin now, it is reserved for the replica and no
+// order is sent.
+func (p *plan) place(w wantedReplica) {
 	best := p.bestOption(w)
 	if best == nil {
 		return
 	}
 	if w.cold {
-		p.promise(w.model.Name, best.end)
+		p.recordReadyIn(w.model.Name, best.end)
 	}
 	if best.start > 0 {
 		p.reserved[best.server.ID] = true
@@ -258,71 +265,72 @@
 		p.loadOn(best.server, w.model, w.reason())
 		return
 	}
-	p.makeRoom(best.server, best.victims[0], w.model)
+	p.unloadFor(best.server, best.victims[0], w.model)
 }
 
-func (p *plan) bestOption(w wish) *option {
+func (p *plan) bestOption(w wantedReplica) *option {
 	var best *option
 	for i := range p.Servers {
 		server := &p.Servers[i]
 		if _, holds := server.Models[w.model.Name]; holds || !p.mayWaitFor(server, w) {
 			continue
 		}
-		if candidate := p.option(server, w, best); candidate != nil {
+		if candidate := p.evaluate(server, w, best); candidate != nil {
 			best = candidate
 		}
 	}
 	return best
 }
 
-// mayWaitFor: the server takes an order now or, for a model that no server holds,
-// once the order under way has ended.
-func (p *plan) mayWaitFor(server *Server, w wish) bool {
-	if server.Draining || server.Suspect || server.RecordOnly || p.taken[server.ID] || p.reserved[server.ID] || server.Intent == w.model.Name {
+// mayWaitFor reports whether the server takes an order now or, for a model that no server
+// holds, once the order under way has ended.
+func (p *plan) mayWaitFor(server *Server, w wantedReplica) bool {
+	if server.Draining || server.Suspect || server.RecordOnly || p.assigned[server.ID] || p.reserved[server.ID] || server.Intent == w.model.Name {
 		return false
 	}
 	return w.cold || !server.Busy && server.Intent == ""
 }
 
-// promise notes the least time until a model is there.
-func (p *plan) promise(model string, in time.Duration) {
-	if before, known := p.readyIn[model]; !known || in < before {
+// recordReadyIn keeps the shortest time until the model is ready somewhere.
+func (p *plan) recordReadyIn(model string, in time.Duration) {
+	if earliest, known := p.readyIn[model]; !known || in < earliest {
 		p.readyIn[model] = in
 	}
 }
 
-// promiseIntent notes when the model will be there for which room is being made.
-func (p *plan) promiseIntent(server *Server) {
+// recordIntentReadyIn records the time until the model is ready for which the server is
+// freeing memory.
+func (p *plan) recordIntentReadyIn(server *Server) {
 	if model := p.Engine.Models[server.Intent]; model != nil {
 		_, load := SourceOf(server, model)
-		p.promise(server.Intent, server.FreeIn+load)
+		p.recordReadyIn(server.Intent, server.FreeIn+load)
 	}
 }
 
-// makeRoom unloads a victim for a model. The victim has one replica less for what
-// is planned after this: else all of its replicas, each of which may give way alone,
-// would go in one plan.
-func (p *plan) makeRoom(server *Server, victim string, model *fleet.Model) {
-	p.taken[server.ID] = true
+// unloadFor unloads a victim to free memory for a model. The victim's count of replicas
+// falls at once: otherwise one plan could evict all its replicas, since each of them may be
+// evicted as long as the others stay.
+func (p *plan) unloadFor(server *Server, victim string, model *fleet.Model) {
+	p.assigned[server.ID] = true
 	p.ready[victim]--
 	p.actions = append(p.actions, Action{
 		Kind: Unload, Server: server.ID, Model: victim, Intent: model.Name, Expected: unloadTime, Reason: "makes room",
 	})
 }
 
-func (w wish) reason() string {
+func (w wantedReplica) reason() string {
 	if w.cold {
 		return "cold"
 	}
 	return "more replicas"
 }
 
-// loadOn orders the load, or the unload of what is still in its way.
+// loadOn orders the load, or the first unload that it needs.
 func (p *plan) loadOn(server *Server, model *fleet.Model, reason string) {
-	if p.free(server) < model.SizeMB {
-		victims := p.victims(server, wish{model: model, demand: &Demand{}, cold: true}, model.SizeMB-p.free(server))
+	if p.freeMemory(server) < model.SizeMB {
+		victims := p.victims(server, wantedReplica{model: model, demand: &Demand{}, cold: true}, model.SizeMB-p.freeMemory(server))
 		if len(victims) > 0 && victims[0].wait == 0 {
-			p.makeRoom(server, victims[0].model, model)
+			p.unloadFor(server, victims[0].model, model)
 		}
 		return
 	}
@@ -333,14 +341,14 @@
 		}
 		p.storeLoads--
 	}
-	p.taken[server.ID] = true
+	p.assigned[server.ID] = true
 	p.actions = append(p.actions, Action{
 		Kind: Load, Server: server.ID, Model: model.Name, Source: source, Expected: expected, Reason: reason,
 	})
 }
 
-// SourceOf is where a server takes a model's weights from, and how long that
-// takes when it is undisturbed.
+// SourceOf returns where a server reads a model's weights from, and how long a load from
+// there takes without contention.
 func SourceOf(server *Server, model *fleet.Model) (Source, time.Duration) {
 	load := model.LoadTime
 	if load <= 0 {
@@ -355,8 +363,9 @@
 	return FromStore, load
 }
 
-// free memory of a server in MB.
-func (p *plan) free(server *Server) float64 {
+// freeMemory returns a server's free memory in MB; 0 if the server holds a model that is
+// not configured.
+func (p *plan) freeMemory(server *Server) float64 {
 	used := 0.0
 	for name, replica := range server.Models {
 		model := p.Engine.Models[name]
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -6,47 +6,48 @@
 )
 
 const (
-	// storeCost is added to a load's seconds for taking one of the store's
-	// scarce loads.
+	// storeCost in seconds is added for a load from the weight store, whose rate of loads
+	// is limited.
 	storeCost = 0.5
 	// unloadTime is how long an unload of an idle model takes.
 	unloadTime = 150 * time.Millisecond
-	// shortestRun and longestRun bound what is taken as the time of a request, in
-	// seconds.
-	shortestRun, longestRun = 0.3, 6.0
-	// shortestWait is expected where nothing tells how long a wait takes.
-	shortestWait = 50 * time.Millisecond
-	// crowdCost for each busy model on a server, in seconds: models on one server
-	// share its batch.
+	// minRunSeconds and maxRunSeconds bound the estimated duration of a request.
+	minRunSeconds, maxRunSeconds = 0.3, 6.0
+	// minWait is the shortest wait that is assumed for a busy server or for the weight
+	// store, whose own estimates may be zero.
+	minWait = 50 * time.Millisecond
+	// crowdCost in seconds is added for each fully used replica on a server: models on one
+	// server share its batch.
 	crowdCost = 0.25
-	// zoneCost for a second replica in the same zone, in seconds.
+	// zoneCost in seconds is added for a second replica in the same zone.
 	zoneCost = 0.1
 )
 
 // option is a way to place a replica.
 type option struct {
-	server  *Server
+	server *Server
+	// victims are the models to unload for it, in this order.
 	victims []string
-	// start is the time until the first order can be given, end until the replica
-	// is there.
+	// start is the time until the first order can be sent, end that until the replica
+	// is ready.
 	start, end time.Duration
-	// cost in seconds, what others lose included.
+	// cost in seconds, including that to other models.
 	cost float64
 }
 
-// option returns how a server would take the replica, or nil if it can't, or not at
-// a lower cost than the best one so far.
-func (p *plan) option(server *Server, w wish, best *option) *option {
+// evaluate returns how a server would take the replica, or nil if it can't or if the cost
+// is not lower than that of the best option so far.
+func (p *plan) evaluate(server *Server, w wantedReplica, best *option) *option {
 	source, load := SourceOf(server, w.model)
 	found := &option{server: server, start: p.freeIn(server), cost: p.crowding(server)}
 	if source == FromStore {
 		found.cost += storeCost
 		if p.storeLoads <= 0 {
-			found.start = max(found.start, p.NextStoreLoadIn, shortestWait)
+			found.start = max(found.start, p.NextStoreLoadIn, minWait)
 		}
 	}
 	if server.Busy {
-		found.start = max(found.start, shortestWait)
+		found.start = max(found.start, minWait)
 	}
 	if p.zones[modelZone{w.model.Name, server.Zone}] {
 		found.cost += zoneCost
@@ -54,7 +55,7 @@
 	if best != nil && found.cost+(found.start+load).Seconds() >= best.cost {
 		return nil
 	}
-	if missing := w.model.SizeMB - p.freeBeside(server); missing > 0 {
+	if missing := w.model.SizeMB - p.freeMemoryAfterIntent(server); missing > 0 {
 		victims := p.victims(server, w, missing)
 		if len(victims) == 0 {
 			return nil
@@ -73,9 +74,10 @@
 	return found
 }
 
-// crowding is what the other models' requests on the server cost.
+// crowding returns the cost in seconds of sharing the server with the running requests of
+// the models that it holds.
 func (p *plan) crowding(server *Server) float64 {
-	cost, known := p.crowdedBy[server.ID]
+	cost, known := p.crowdingByServer[server.ID]
 	if known {
 		return cost
 	}
@@ -85,12 +87,12 @@
 			cost += crowdCost * float64(demand.Running) / float64(replicas*runningPerReplica)
 		}
 	}
-	p.crowdedBy[server.ID] = cost
+	p.crowdingByServer[server.ID] = cost
 	return cost
 }
 
-// freeIn is the time until the server can take an order for a model for which no
-// room is being made there yet.
+// freeIn returns the time until the server can take an order for a model other than its
+// intent.
 func (p *plan) freeIn(server *Server) time.Duration {
 	intended := p.Engine.Models[server.Intent]
 	if intended == nil {
@@ -100,32 +102,34 @@
 	return server.FreeIn + load
 }
 
-// freeBeside is the free memory of a server in MB, once it holds the model for
-// which room is being made.
-func (p *plan) freeBeside(server *Server) float64 {
-	free := p.free(server)
+// freeMemoryAfterIntent returns a server's free memory in MB once it holds the model for
+// which memory is being freed.
+func (p *plan) freeMemoryAfterIntent(server *Server) float64 {
+	free := p.freeMemory(server)
 	if intended := p.Engine.Models[server.Intent]; intended != nil && server.Intent != server.Loading {
 		free -= intended.SizeMB
 	}
 	return free
 }
 
-// victim is a replica that may give way.
+// victim is a replica that may be evicted.
 type victim struct {
 	model string
-	size  float64
-	// cost in expected seconds of cold starts.
+	// size in MB, with its adapters.
+	size float64
+	// cost of the eviction, in expected seconds of cold starts.
 	cost float64
-	// wait until it may give way.
+	// wait is the time until it may be evicted.
 	wait time.Duration
 }
 
-// weight orders victims: what they cost, and what waiting for them does.
-func (v victim) weight() float64 { return v.cost + v.wait.Seconds() }
+// totalSeconds is the cost of the eviction with the wait for it. Victims with the lowest
+// total go first.
+func (v victim) totalSeconds() float64 { return v.cost + v.wait.Seconds() }
 
-// victims are the replicas that have to go for the wish. None are returned if
-// there is no way.
-func (p *plan) victims(server *Server, w wish, missing float64) []victim {
+// victims returns the replicas to evict on the server to free the missing memory in MB, or
+// nil if that can't be done.
+func (p *plan) victims(server *Server, w wantedReplica, missing float64) []victim {
 	var candidates []victim
 	for name, replica := range server.Models {
 		found, may := p.victim(name, replica, w)
@@ -134,8 +138,8 @@
 		}
 	}
 	sort.Slice(candidates, func(i, j int) bool {
-		if candidates[i].weight() != candidates[j].weight() {
-			return candidates[i].weight() < candidates[j].weight()
+		if candidates[i].totalSeconds() != candidates[j].totalSeconds() {
+			return candidates[i].totalSeconds() < candidates[j].totalSeconds()
 		}
 		return candidates[i].model < candidates[j].model
 	})
@@ -148,15 +152,15 @@
 	return nil
 }
 
-// idleIn is the time until a model's requests are expected to have ended, if few
-// more come.
+// idleIn estimates the time until a model's running requests have ended, if few more
+// arrive.
 func (p *plan) idleIn(demand *Demand) time.Duration {
 	if demand.Running == 0 {
 		return 0
 	}
-	each := longestRun
+	each := maxRunSeconds
 	if demand.Rate > 0 {
-		each = min(max(float64(demand.Running)/demand.Rate, shortestRun), longestRun)
+		each = min(max(float64(demand.Running)/demand.Rate, minRunSeconds), maxRunSeconds)
 	}
 	last := 0.0
 	for number := 1; number <= demand.Running; number++ {
@@ -165,15 +169,14 @@
 	return time.Duration(last * float64(time.Second))
 }
 
-// victim tells whether a replica may give way to the wish, and what its loss
-// costs.
-func (p *plan) victim(name string, replica Replica, w wish) (victim, bool) {
+// victim reports whether a replica may be evicted for the wanted one, and at which cost.
+func (p *plan) victim(name string, replica Replica, w wantedReplica) (victim, bool) {
 	model := p.Engine.Models[name]
 	if model == nil {
 		return victim{}, false
 	}
 	found := victim{
-		model: name, size: model.HeldMB(len(replica.Adapters)), wait: max(residency-p.Now.Sub(replica.Since), 0),
+		model: name, size: model.HeldMB(len(replica.Adapters)), wait: max(minResidency-p.Now.Sub(replica.Since), 0),
 	}
 	demand := p.Demand[name]
 	if demand == nil {
@@ -189,13 +192,14 @@
 		return found, true
 	}
 	if !w.cold || demand.Waiting > 0 {
-		// More replicas of one model are not worth another model's only one.
+		// A replica that its own model needs is evicted only for a model that has none, and
+		// not while requests wait for it.
 		return found, p.ready[name] > max(needed, 1)
 	}
 	idle := p.Now.Sub(demand.LastUsed).Seconds()
-	// The chance of use within the next seconds, with what a cold start costs.
+	// The probability of a request within the horizon, times the cost of a cold start.
 	const horizon = 8.0
-	chance := min(demand.Rate*horizon, 1)/(1+idle/horizon) + 0.02
-	found.cost = chance * (model.LoadTimeFrom(false, true).Seconds() + storeCost) / float64(p.ready[name])
+	probability := min(demand.Rate*horizon, 1)/(1+idle/horizon) + 0.02
+	found.cost = probability * (model.LoadTimeFrom(false, true).Seconds() + storeCost) / float64(p.ready[name])
 	return found, true
 }
--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -91,7 +91,7 @@
 switch_off limit-refused-at-once internal/forward/admission.go 'turnless := able &&' 'turnless := false && able &&' ./internal/forward
 switch_off limit-urgent-first internal/serverlimit/serverlimit.go 'min(need.MaxWait, horizon(need.Rank))' 'need.MaxWait' ./platform
 switch_off limit-last-choice internal/forward/choose.go '+ f.limitPenalty(flow, c.server)' '' ./internal/forward ./platform
-switch_off limit-little-use internal/placement/plan.go '+ p.replicasOfLittleUse(model, demand)' '' ./platform
+switch_off limit-little-use internal/placement/plan.go '+ p.saturatedReplicas(model, demand)' '' ./platform
 switch_off limit-refusal-ends internal/forward/limit.go 'if !f.limits.Limited(server) {' 'if false {' ./internal/forward
 switch_off counters-of-most internal/orders/counters.go 'if hearsMost(earlier.Addresses, live) {' 'if true {' ./platform
 switch_off counters-lost internal/orders/counters.go '|| now.Sub(h.countersHeardAt) >= countersLost' '' ./platform
@@ -184,7 +184,7 @@
 switch_off overdue-orders internal/orders/ledger.go 'return e.busyUntil.Sub(now).Abs()' 'return max(e.busyUntil.Sub(now), 0)' ./internal/orders
 switch_off loads-at-once internal/orders/ceiling.go 'c.atOnce = max(min(' 'c.atOnce = max(c.atOnce, min(' ./internal/orders
 switch_off told-again internal/orders/ledger.go 'found.server.Created != server.Created' 'false' ./internal/orders
-switch_off doubtful-loads internal/placement/plan.go 'have += p.doubtful[name]' '' ./internal/placement ./platform
+switch_off doubtful-loads internal/placement/plan.go 'have += p.unconfirmed[name]' '' ./internal/placement ./platform
 switch_off doubt-is-noted internal/orders/execute.go 'target.doubtful, target.doubtUntil = action.Model, time.Now().Add(doubtTime)' '' ./platform
 switch_off few-campaigns internal/orders/election.go 'if _, vacancy = e.vacancy(); vacancy == nil {' 'if false {' ./platform
 switch_off orders-in internal/forward/admission.go 'return ordersIn + load' 'return load' ./internal/forward
