--- a/internal/applier/demand.go
+++ b/internal/applier/demand.go
@@ -69,9 +69,9 @@
 
 // withoutKnown leaves out the models whose endpoints the gateway has, unless
 // their load figures are due.
-func (o *Owner) withoutKnown(gateway *gatewayEntry, models []string, known []directory.KnownRow, now time.Time) []string {
+func (o *Owner) withoutKnown(gateway *gatewayEntry, models []string, known []directory.CachedRow, now time.Time) []string {
 	return slices.DeleteFunc(models, func(model string) bool {
-		at := slices.IndexFunc(known, func(row directory.KnownRow) bool { return row.Model == model })
+		at := slices.IndexFunc(known, func(row directory.CachedRow) bool { return row.Model == model })
 		if at < 0 || now.Sub(gateway.refreshed[model]) >= o.config.Intervals.LoadRefresh {
 			return false
 		}
--- a/internal/applier/gateway_test.go
+++ b/internal/applier/gateway_test.go
@@ -72,7 +72,7 @@
 	}
 	for _, demand := range report.Demands {
 		if g.digests {
-			report.Known = append(report.Known, directory.KnownRow{Model: demand.Row, Digest: g.known[demand.Row].Digest})
+			report.Known = append(report.Known, directory.CachedRow{Model: demand.Row, Digest: g.known[demand.Row].Digest})
 		}
 	}
 	if g.owner == "" || len(report.Demands) == 0 {
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -129,8 +129,8 @@
 var _ = Describe("Directory", func() {
 	It("reports a wanted row at once and takes the reply", func() {
 		f := newFixture()
-		f.directory.Want("tone")
-		f.directory.Want("tone")
+		f.directory.ReportDemand("tone")
+		f.directory.ReportDemand("tone")
 		f.loop.RunFor(10 * time.Millisecond)
 		Expect(f.reports).To(HaveLen(1))
 		Expect(f.reports[0].Demands).To(HaveLen(1))
@@ -143,7 +143,7 @@
 		f := newFixture()
 		f.demand.waiting = true
 		f.network.Cut = func(string, string) bool { return true }
-		f.directory.Want("tone")
+		f.directory.ReportDemand("tone")
 		f.tickFor(3 * time.Second)
 		Expect(f.reports).To(BeEmpty())
 		f.network.Cut = func(string, string) bool { return false }
@@ -157,12 +157,12 @@
 		known.Revision = 3
 		known.Rows[0].Digest = 9
 		f.directory.Apply(known)
-		f.directory.Want("m")
+		f.directory.ReportDemand("m")
 		f.loop.RunFor(100 * time.Millisecond)
-		Expect(f.reports[0].Known).To(Equal([]KnownRow{{Model: "m", Digest: 9}}))
+		Expect(f.reports[0].Known).To(Equal([]CachedRow{{Model: "m", Digest: 9}}))
 		f.directory.Apply(known)
-		f.directory.Reject("m", "a", 0)
-		f.directory.Want("m")
+		f.directory.Invalidate("m", "a", 0)
+		f.directory.ReportDemand("m")
 		f.loop.RunFor(100 * time.Millisecond)
 		Expect(f.reports[1].Known).To(BeEmpty())
 	})
@@ -175,7 +175,7 @@
 
 	It("keeps its endpoints when the owner is silent or unknown", func() {
 		f := newFixture()
-		f.directory.Want("m")
+		f.directory.ReportDemand("m")
 		f.loop.RunFor(time.Second)
 		f.network.Cut = func(string, string) bool { return true }
 		delete(f.owners, "c1")
@@ -213,7 +213,7 @@
 	It("drops a rejected endpoint until the owner says something newer", func() {
 		f := newFixture()
 		f.directory.Apply(update("c1", 1, 1, "m", "s1"))
-		f.directory.Reject("m", "s1", 0)
+		f.directory.Invalidate("m", "s1", 0)
 		f.directory.Apply(update("c1", 1, 1, "m", "s1"))
 		Expect(f.servers("m")).To(BeEmpty())
 		f.directory.Apply(update("c1", 1, 2, "m", "s1"))
--- a/internal/directory/messages.go
+++ b/internal/directory/messages.go
@@ -41,11 +41,11 @@
 	Sequence uint64
 	Demands  []Demand
 	// Known are the endpoints that the gateway has of the models asked for.
-	Known []KnownRow
+	Known []CachedRow
 }
 
-// KnownRow tells which endpoints of a model a gateway has.
-type KnownRow struct {
+// CachedRow tells which endpoints of a model a gateway has.
+type CachedRow struct {
 	Model string
 	// Digest as the owner sent it.
 	Digest uint64
--- a/internal/directory/report.go
+++ b/internal/directory/report.go
@@ -12,10 +12,10 @@
 // coalescing is how long wanted rows are gathered into one report.
 const coalescing = time.Millisecond
 
-// Want reports a row's demand at once: a request waits for it and no endpoint
+// ReportDemand reports a row's demand at once: a request waits for it and no endpoint
 // can serve it, or its traffic has just begun. It may be called under the
 // caller's lock; the demand is read later from the DemandSource.
-func (d *Directory) Want(row string) {
+func (d *Directory) ReportDemand(row string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.wanted[row] = true
@@ -113,8 +113,8 @@
 
 // knownLocked lists the digests of what this cell's owner has told about the
 // models asked for.
-func (d *Directory) knownLocked(cell string, epoch uint64, demands []Demand) []KnownRow {
-	var rows []KnownRow
+func (d *Directory) knownLocked(cell string, epoch uint64, demands []Demand) []CachedRow {
+	var rows []CachedRow
 	for _, demand := range demands {
 		name := d.baseOf(demand.Row)
 		known := d.models[name]
@@ -125,7 +125,7 @@
 		if part == nil || part.epoch != epoch || part.row.Digest == 0 {
 			continue
 		}
-		rows = append(rows, KnownRow{Model: name, Digest: part.row.Digest})
+		rows = append(rows, CachedRow{Model: name, Digest: part.row.Digest})
 	}
 	return rows
 }
--- a/internal/directory/update.go
+++ b/internal/directory/update.go
@@ -119,9 +119,9 @@
 	return a
 }
 
-// Reject removes an endpoint that refused a request as not loaded, until the
+// Invalidate removes an endpoint that refused a request as not loaded, until the
 // cell's owner says something newer.
-func (d *Directory) Reject(name string, server outside.ServerID, slot outside.SlotID) {
+func (d *Directory) Invalidate(name string, server outside.ServerID, slot outside.SlotID) {
 	d.mutex.Lock()
 	known := d.models[name]
 	if known != nil {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -17,7 +17,7 @@
 type attempt struct {
 	id      outside.AttemptID
 	entry   *entry
-	place   router.Place
+	place   router.Reservation
 	started time.Time
 	// cancelled work is not waited for longer than abandonAfter.
 	cancel  func()
@@ -33,7 +33,7 @@
 }
 
 // launch sends an attempt. The place is reserved, the claim, if any, held.
-func (s *shard) launch(e *entry, place router.Place, turn *turn) {
+func (s *shard) launch(e *entry, place router.Reservation, turn *turn) {
 	a := &attempt{id: s.gateway.newAttempt(), entry: e, place: place, started: turn.now}
 	a.abandon = timerItem{kind: timerAbandon, attempt: a}
 	e.phase = phaseRunning
--- a/internal/gateway/claim.go
+++ b/internal/gateway/claim.go
@@ -16,7 +16,7 @@
 
 // claim asks for the key of a non-repeatable request, while its place stays
 // reserved.
-func (s *shard) claim(e *entry, place router.Place, turn *turn) {
+func (s *shard) claim(e *entry, place router.Reservation, turn *turn) {
 	e.phase = phaseClaiming
 	e.claim.asked = turn.now
 	if e.claim.attempt == "" {
@@ -29,7 +29,7 @@
 }
 
 // claimed handles a claim's result, which may come after the request's end.
-func (s *shard) claimed(e *entry, place router.Place, outcome claims.Result) {
+func (s *shard) claimed(e *entry, place router.Reservation, outcome claims.Result) {
 	turn := s.begin()
 	turn.closed++
 	e.claim.held = outcome.Verdict == claims.Granted
--- a/internal/gateway/concurrency_test.go
+++ b/internal/gateway/concurrency_test.go
@@ -123,6 +123,6 @@
 // quietDirectory ignores what it is told.
 type quietDirectory struct{}
 
-func (quietDirectory) Want(string)                                     {}
-func (quietDirectory) Reject(string, outside.ServerID, outside.SlotID) {}
-func (quietDirectory) MarkLeaving(outside.ServerID)                    {}
+func (quietDirectory) ReportDemand(string)                                 {}
+func (quietDirectory) Invalidate(string, outside.ServerID, outside.SlotID) {}
+func (quietDirectory) MarkLeaving(outside.ServerID)                        {}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -14,13 +14,13 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// EndpointDirectory is what the gateway tells the directory. Want may be called
+// EndpointDirectory is what the gateway tells the directory. ReportDemand may be called
 // under a lock of the gateway, the others are not.
 type EndpointDirectory interface {
-	// Want asks for an endpoint of a row at once.
-	Want(row string)
-	// Reject removes an endpoint that refused a request as not loaded.
-	Reject(model string, server outside.ServerID, slot outside.SlotID)
+	// ReportDemand asks for an endpoint of a row at once.
+	ReportDemand(row string)
+	// Invalidate removes an endpoint that refused a request as not loaded.
+	Invalidate(model string, server outside.ServerID, slot outside.SlotID)
 	// MarkLeaving stops new work for a server.
 	MarkLeaving(server outside.ServerID)
 }
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -69,7 +69,7 @@
 		return
 	}
 	d.wantedAt = now
-	s.gateway.config.Directory.Want(d.demand.Row)
+	s.gateway.config.Directory.ReportDemand(d.demand.Row)
 }
 
 // wantIfCold reports a row whose request was refused for want of an endpoint.
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -20,8 +20,8 @@
 			continue
 		}
 		choice := g.router.Pick(g.name, e.routing())
-		if choice.Verdict == router.Placed {
-			s.start(e, choice.Place, turn)
+		if choice.Verdict == router.Reserved {
+			s.start(e, choice.Reservation, turn)
 			continue
 		}
 		if s.blocked(e, choice, turn) {
@@ -65,11 +65,11 @@
 	switch choice.Verdict {
 	case router.Full:
 		return e.plainRouting()
-	case router.Resting:
+	case router.CircuitOpen:
 		if !choice.RetryAt.IsZero() {
 			s.wakeAt(e.group, choice.RetryAt, turn.now)
 		}
-	case router.None:
+	case router.NoEndpoint:
 		s.noEndpoint(e, turn)
 	}
 	return false
@@ -120,7 +120,7 @@
 
 // start gives an entry its reserved place: the key is claimed first if there
 // is one and it is not held yet.
-func (s *shard) start(e *entry, place router.Place, turn *turn) {
+func (s *shard) start(e *entry, place router.Reservation, turn *turn) {
 	s.dequeue(e)
 	e.group.charge(e.flow)
 	if e.attempts == 0 {
--- a/internal/gateway/estimate.go
+++ b/internal/gateway/estimate.go
@@ -64,7 +64,7 @@
 // estimate returns the wait behind the requests that go first.
 func (g *group) estimate(e *entry, capacity router.Capacity, now time.Time) estimate {
 	expected := estimate{service: time.Duration(g.service.high)}
-	places := capacity.Places
+	places := capacity.Limit
 	free := places - capacity.InFlight
 	if capacity.Usable == 0 {
 		places, free = 0, 0
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -40,11 +40,11 @@
 }
 
 func (d *fakeDirectory) Snapshot(name string) *directory.Snapshot { return d.snapshots[name] }
-func (d *fakeDirectory) Want(row string)                          { d.wanted = append(d.wanted, row) }
+func (d *fakeDirectory) ReportDemand(row string)                  { d.wanted = append(d.wanted, row) }
 
 func (d *fakeDirectory) MarkLeaving(server outside.ServerID) { d.leaving = append(d.leaving, server) }
 
-func (d *fakeDirectory) Reject(model string, server outside.ServerID, _ outside.SlotID) {
+func (d *fakeDirectory) Invalidate(model string, server outside.ServerID, _ outside.SlotID) {
 	d.rejected = append(d.rejected, server)
 	old := d.snapshots[model]
 	kept := &directory.Snapshot{Group: model}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -204,6 +204,6 @@
 	case rejected.leaving:
 		g.config.Directory.MarkLeaving(rejected.server)
 	case !rejected.pool:
-		g.config.Directory.Reject(rejected.model, rejected.server, rejected.slot)
+		g.config.Directory.Invalidate(rejected.model, rejected.server, rejected.slot)
 	}
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -27,7 +27,7 @@
 	e := a.entry
 	if !a.answered {
 		a.answered = true
-		e.group.router.Alive(a.place)
+		e.group.router.ResponseStarted(a.place)
 		s.dispatch(e.group, turn)
 	}
 	switch {
--- a/internal/router/done.go
+++ b/internal/router/done.go
@@ -26,7 +26,7 @@
 
 // Done gives a place back, exactly once, and learns from the outcome. A nil
 // hint teaches nothing about load.
-func (r *Router) Done(place Place, outcome Outcome, hint *outside.LoadHint) {
+func (r *Router) Done(place Reservation, outcome Outcome, hint *outside.LoadHint) {
 	if place.target == nil {
 		return
 	}
@@ -66,9 +66,9 @@
 	}
 }
 
-// Alive tells that the endpoint has begun to answer, so that a probe of the
+// ResponseStarted tells that the endpoint has begun to answer, so that a probe of the
 // circuit breaker need not wait for a long answer's end.
-func (r *Router) Alive(place Place) {
+func (r *Router) ResponseStarted(place Reservation) {
 	if place.target == nil {
 		return
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -37,27 +37,27 @@
 
 // The verdicts.
 const (
-	// Placed: a place was reserved; Done must be called for it.
-	Placed Verdict = iota
+	// Reserved: a place was reserved; Done must be called for it.
+	Reserved Verdict = iota
 	// Full: endpoints could take the request, but have no free place.
 	Full
-	// Resting: all endpoints that could take the request failed lately.
-	Resting
-	// None: no endpoint can take the request.
-	None
+	// CircuitOpen: all endpoints that could take the request failed lately.
+	CircuitOpen
+	// NoEndpoint: no endpoint can take the request.
+	NoEndpoint
 )
 
 // Choice is the outcome of Pick.
 type Choice struct {
-	Verdict Verdict
-	Place   Place
+	Verdict     Verdict
+	Reservation Reservation
 	// RetryAt is when the first resting endpoint may be tried again; zero if
 	// that is not known.
 	RetryAt time.Time
 }
 
-// Place is a reserved place at an endpoint.
-type Place struct {
+// Reservation is a reserved place at an endpoint.
+type Reservation struct {
 	Group    string
 	Endpoint directory.Endpoint
 	target   *target
@@ -142,7 +142,7 @@
 	defer shard.mutex.Unlock()
 	group := r.refresh(shard, name, now)
 	if group == nil {
-		return Choice{Verdict: None}
+		return Choice{Verdict: NoEndpoint}
 	}
 	candidates, choice := r.candidates(shard, group, request, now)
 	if len(candidates) == 0 {
@@ -154,14 +154,14 @@
 	target.startedAt = now
 	target.breaker.begin()
 	target.server.begin()
-	return Choice{Place: Place{Group: name, Endpoint: *target.endpoint, target: target}}
+	return Choice{Reservation: Reservation{Group: name, Endpoint: *target.endpoint, target: target}}
 }
 
 // candidates returns the endpoints that may take the request, in the shard's
 // scratch space, or why there is none.
 func (r *Router) candidates(shard *shard, group *group, request *Request, now time.Time) ([]Candidate, Choice) {
 	candidates := shard.scratch[:0]
-	choice := Choice{Verdict: None}
+	choice := Choice{Verdict: NoEndpoint}
 	for _, target := range group.targets {
 		candidates = append(candidates, target.candidate(r.limit(group, target, now), now))
 		if !r.takes(&candidates[len(candidates)-1], request, now, &choice) {
@@ -192,8 +192,8 @@
 // rest notes a resting endpoint; a full one counts more. An endpoint under
 // probe rests until the probe's end, whose time is not known.
 func (c *Choice) rest(until, now time.Time) {
-	if c.Verdict == None {
-		c.Verdict = Resting
+	if c.Verdict == NoEndpoint {
+		c.Verdict = CircuitOpen
 	}
 	if !until.After(now) {
 		return
@@ -240,8 +240,8 @@
 type Capacity struct {
 	// Usable endpoints: neither draining nor resting.
 	Usable int
-	// Places is the sum of this node's limits at the usable endpoints.
-	Places int
+	// Limit is the sum of this node's limits at the usable endpoints.
+	Limit int
 	// InFlight requests of this node at them.
 	InFlight int
 	// ReadyAt estimates the next replica; zero: not known.
@@ -267,7 +267,7 @@
 		}
 		capacity.Usable++
 		capacity.InFlight += target.inFlight
-		capacity.Places += r.limit(group, target, now)
+		capacity.Limit += r.limit(group, target, now)
 	}
 	return capacity
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -61,11 +61,11 @@
 			source.set(endpoint("a", a), endpoint("b", b)).MeasuredAt = loop.Now()
 			choice := router.Pick(model, &request)
 			if expected == "" {
-				Expect(choice.Verdict).To(Equal(None))
+				Expect(choice.Verdict).To(Equal(NoEndpoint))
 				continue
 			}
-			Expect(choice.Verdict).To(Equal(Placed))
-			Expect(choice.Place.Endpoint.Server).To(BeEquivalentTo(expected))
+			Expect(choice.Verdict).To(Equal(Reserved))
+			Expect(choice.Reservation.Endpoint.Server).To(BeEquivalentTo(expected))
 		}
 	},
 	Entry("not the draining one", draining, far, Request{}, "b"),
@@ -87,19 +87,19 @@
 	It("limits the requests in flight and gives places back", func() {
 		router, source, _ := newRouter(1)
 		source.set(endpoint("a"))
-		var places []Place
+		var places []Reservation
 		for range 4 {
-			places = append(places, router.Pick(model, &Request{}).Place)
+			places = append(places, router.Pick(model, &Request{}).Reservation)
 		}
 		Expect(router.Pick(model, &Request{}).Verdict).To(Equal(Full))
 		router.Done(places[0], Succeeded, nil)
-		Expect(router.Pick(model, &Request{}).Verdict).To(Equal(Placed))
+		Expect(router.Pick(model, &Request{}).Verdict).To(Equal(Reserved))
 	})
 
 	It("keeps its counts when the endpoints are told anew", func() {
 		router, source, _ := newRouter(1)
 		source.set(endpoint("a"))
-		place := router.Pick(model, &Request{}).Place
+		place := router.Pick(model, &Request{}).Reservation
 		source.set(endpoint("b"))
 		Expect(router.Capacity(model).InFlight).To(BeZero())
 		source.set(endpoint("a"), endpoint("b"))
@@ -111,29 +111,29 @@
 	It("leaves places to the other nodes, never less than its fair part", func() {
 		router, source, loop := newRouter(2)
 		source.set(endpoint("a", loaded)).MeasuredAt = loop.Now()
-		Expect(router.Capacity(model).Places).To(Equal(2))
-		place := router.Pick(model, &Request{}).Place
+		Expect(router.Capacity(model).Limit).To(Equal(2))
+		place := router.Pick(model, &Request{}).Reservation
 		router.Done(place, Succeeded, &outside.LoadHint{Running: 1})
-		Expect(router.Capacity(model).Places).To(Equal(3))
+		Expect(router.Capacity(model).Limit).To(Equal(3))
 		loop.RunFor(2 * hintLifetime)
-		Expect(router.Capacity(model).Places).To(Equal(4))
+		Expect(router.Capacity(model).Limit).To(Equal(4))
 	})
 
 	It("takes only its part of the free places if others send too", func() {
 		router, source, loop := newRouter(9)
 		source.set(endpoint("a", func(e *directory.Endpoint) { e.MaxBatch = 12 })).Gateways = 3
-		Expect(router.Capacity(model).Places).To(Equal(4))
-		place := router.Pick(model, &Request{}).Place
+		Expect(router.Capacity(model).Limit).To(Equal(4))
+		place := router.Pick(model, &Request{}).Reservation
 		router.Done(place, Succeeded, &outside.LoadHint{Running: 1})
 		// Of the 11 free places, 4 are granted, whoever asks how often.
 		for range 4 {
-			place = router.Pick(model, &Request{}).Place
+			place = router.Pick(model, &Request{}).Reservation
 		}
 		Expect(router.Pick(model, &Request{}).Verdict).To(Equal(Full))
 		router.Done(place, Succeeded, &outside.LoadHint{Running: 3})
-		Expect(router.Capacity(model).Places).To(Equal(3 + 3))
+		Expect(router.Capacity(model).Limit).To(Equal(3 + 3))
 		loop.RunFor(2 * hintLifetime)
-		Expect(router.Capacity(model).Places).To(Equal(4))
+		Expect(router.Capacity(model).Limit).To(Equal(4))
 	})
 
 	It("grants no places by a report that may be older than its own requests", func() {
@@ -147,31 +147,31 @@
 		router.Pick(model, &Request{})
 		loop.RunFor(reportLag / 2)
 		tell()
-		Expect(router.Capacity(model).Places).To(Equal(4))
+		Expect(router.Capacity(model).Limit).To(Equal(4))
 		loop.RunFor(reportLag)
 		tell()
-		Expect(router.Capacity(model).Places).To(Equal(1 + 4))
+		Expect(router.Capacity(model).Limit).To(Equal(1 + 4))
 	})
 
 	It("lets a failing endpoint rest, longer each time, and probes it once", func() {
 		router, source, loop := newRouter(1)
 		source.set(endpoint("a"))
 		for range failuresToOpen {
-			router.Done(router.Pick(model, &Request{}).Place, Failed, nil)
+			router.Done(router.Pick(model, &Request{}).Reservation, Failed, nil)
 		}
 		first := router.Pick(model, &Request{})
-		Expect(first.Verdict).To(Equal(Resting))
+		Expect(first.Verdict).To(Equal(CircuitOpen))
 		Expect(first.RetryAt).To(BeTemporally("<=", loop.Now().Add(firstRest)))
 		loop.RunUntil(first.RetryAt)
 		probe := router.Pick(model, &Request{})
-		Expect(probe.Verdict).To(Equal(Placed))
-		Expect(router.Pick(model, &Request{}).Verdict).To(Equal(Resting))
-		router.Done(probe.Place, Failed, nil)
+		Expect(probe.Verdict).To(Equal(Reserved))
+		Expect(router.Pick(model, &Request{}).Verdict).To(Equal(CircuitOpen))
+		router.Done(probe.Reservation, Failed, nil)
 		second := router.Pick(model, &Request{})
 		Expect(second.RetryAt).To(BeTemporally(">=", loop.Now().Add(firstRest)))
 		loop.RunUntil(second.RetryAt)
-		router.Alive(router.Pick(model, &Request{}).Place)
-		Expect(router.Pick(model, &Request{}).Verdict).To(Equal(Placed))
+		router.ResponseStarted(router.Pick(model, &Request{}).Reservation)
+		Expect(router.Pick(model, &Request{}).Verdict).To(Equal(Reserved))
 	})
 
 	It("lets all endpoints of an unreachable server rest, and probes it once for all", func() {
@@ -181,24 +181,24 @@
 			source[group] = &directory.Snapshot{Group: group, Endpoints: []directory.Endpoint{endpoint("a")}}
 		}
 		for range failuresToOpen {
-			router.Done(router.Pick(model, &Request{}).Place, Unreachable, nil)
+			router.Done(router.Pick(model, &Request{}).Reservation, Unreachable, nil)
 		}
 		var retryAt time.Time
 		for _, group := range groups {
 			choice := router.Pick(group, &Request{})
-			Expect(choice.Verdict).To(Equal(Resting), group)
+			Expect(choice.Verdict).To(Equal(CircuitOpen), group)
 			Expect(router.Capacity(group).Usable).To(BeZero())
 			retryAt = choice.RetryAt
 		}
 		loop.RunUntil(retryAt)
 		probe := router.Pick("n", &Request{})
-		Expect(probe.Verdict).To(Equal(Placed))
+		Expect(probe.Verdict).To(Equal(Reserved))
 		waiting := router.Pick("o", &Request{})
-		Expect(waiting.Verdict).To(Equal(Resting))
+		Expect(waiting.Verdict).To(Equal(CircuitOpen))
 		Expect(waiting.RetryAt).To(Equal(loop.Now().Add(probeWait)))
-		router.Alive(probe.Place)
+		router.ResponseStarted(probe.Reservation)
 		for _, group := range groups {
-			Expect(router.Pick(group, &Request{}).Verdict).To(Equal(Placed), group)
+			Expect(router.Pick(group, &Request{}).Verdict).To(Equal(Reserved), group)
 		}
 	})
 
@@ -207,18 +207,18 @@
 		source.set(endpoint("a"))
 		source["n"] = &directory.Snapshot{Group: "n", Endpoints: []directory.Endpoint{endpoint("a")}}
 		for range failuresToOpen {
-			router.Done(router.Pick(model, &Request{}).Place, Failed, nil)
+			router.Done(router.Pick(model, &Request{}).Reservation, Failed, nil)
 		}
-		Expect(router.Pick(model, &Request{}).Verdict).To(Equal(Resting))
-		Expect(router.Pick("n", &Request{}).Verdict).To(Equal(Placed))
+		Expect(router.Pick(model, &Request{}).Verdict).To(Equal(CircuitOpen))
+		Expect(router.Pick("n", &Request{}).Verdict).To(Equal(Reserved))
 	})
 
 	It("counts the failures of requests in flight together as one", func() {
 		router, source, loop := newRouter(1)
 		source.set(endpoint("a"))
-		var places []Place
+		var places []Reservation
 		for range 4 {
-			places = append(places, router.Pick(model, &Request{}).Place)
+			places = append(places, router.Pick(model, &Request{}).Reservation)
 		}
 		for _, place := range places {
 			router.Done(place, Failed, nil)
@@ -230,16 +230,16 @@
 		router, source, _ := newRouter(1)
 		source.set(endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d"))
 		request := Request{PrefixHash: HashPrefix([]byte("You are an admissions officer."))}
-		preferred := router.Pick(model, &request).Place
+		preferred := router.Pick(model, &request).Reservation
 		router.Done(preferred, Succeeded, nil)
 		for range 20 {
-			place := router.Pick(model, &request).Place
+			place := router.Pick(model, &request).Reservation
 			Expect(place.Endpoint.Server).To(Equal(preferred.Endpoint.Server))
 			router.Done(place, Succeeded, nil)
 		}
 		counts := map[outside.ServerID]int{}
 		for range 12 {
-			counts[router.Pick(model, &request).Place.Endpoint.Server]++
+			counts[router.Pick(model, &request).Reservation.Endpoint.Server]++
 		}
 		Expect(counts).To(HaveLen(4))
 	})
@@ -250,7 +250,7 @@
 		source.set(endpoint("a", wide), endpoint("b", wide), endpoint("c", wide), endpoint("d", wide))
 		counts := map[outside.ServerID]int{}
 		for range 1000 {
-			counts[router.Pick(model, &Request{}).Place.Endpoint.Server]++
+			counts[router.Pick(model, &Request{}).Reservation.Endpoint.Server]++
 		}
 		for server, count := range counts {
 			Expect(count).To(BeNumerically("~", 250, 25), string(server))
@@ -269,7 +269,7 @@
 	request := Request{Version: "2", PrefixHash: 42}
 	bm.ReportAllocs()
 	for bm.Loop() {
-		router.Done(router.Pick(model, &request).Place, Succeeded, nil)
+		router.Done(router.Pick(model, &request).Reservation, Succeeded, nil)
 	}
 }
 
