--- a/internal/forward/admission_test.go
+++ b/internal/forward/admission_test.go
@@ -13,8 +13,8 @@
 	"github.com/hatchplank/hatchplank/internal/result"
 )
 
-func TestRefusalsBeforeARouteIsFound(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestRefusesWithoutRouteOrConfiguration(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		outcome := b.forwarder.Serve(context.Background(), request("nowhere", "", time.Second), &recorder{})
 		Expect(outcome.Code).To(Equal(result.UnknownPath))
 		empty := New(Config{View: fleet.NewView(), Backend: b.backend, Budget: BudgetLimits{Window: time.Second}, Nodes: 1})
@@ -24,28 +24,28 @@
 	})
 }
 
-// A node that has waited long for a configuration tells callers to come back
-// later, but not later than they would.
-func TestNodeWithoutConfigurationTellsWhenToComeBack(t *testing.T) {
+// The Retry-After of a node without a configuration grows with the time that it has waited,
+// but not beyond what callers follow.
+func TestRetryAfterOfNodeWithoutConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
 		empty := New(Config{View: fleet.NewView(), Budget: BudgetLimits{Window: time.Second}, Nodes: 1})
 		ask := func(wait time.Duration) time.Duration {
 			return empty.Serve(context.Background(), request("once", "", wait), &recorder{}).RetryAfter
 		}
-		Expect(ask(15 * time.Second)).To(Equal(shortestReadyDelay))
+		Expect(ask(15 * time.Second)).To(Equal(minReadyDelay))
 		time.Sleep(2 * time.Second)
 		Expect(ask(15 * time.Second)).To(Equal(2 * time.Second))
 		Expect(ask(600 * time.Millisecond)).To(Equal(200 * time.Millisecond))
 	})
 }
 
-func TestHoldsAColdRequestThatItsObjectiveAllows(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestHoldsColdRequestWithinItsObjective(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		go func() {
 			time.Sleep(2 * time.Second)
 			Expect(b.forwarder.Demand()).To(ContainElement(HaveField("Waiting", 1)))
-			b.view.Place([]*fleet.Server{{ID: "m2", Models: holds("n")}})
+			b.view.ApplyPlacements([]*fleet.Server{{ID: "m2", Models: holds("n")}})
 		}()
 		outcome := b.forwarder.Serve(context.Background(), request("patient", "n", 10*time.Second), &recorder{})
 		Expect(outcome.Code).To(Equal(result.OK))
@@ -57,7 +57,7 @@
 }
 
 func TestRefusesAtOnceWhatCannotMeetItsObjective(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+	inVirtualTime(t, func(b *testbed) {
 		b.orders.ready = map[string]time.Time{"n": time.Now().Add(1200 * time.Millisecond)}
 		started := time.Now()
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "n", 5*time.Second), &recorder{})
@@ -72,12 +72,12 @@
 	})
 }
 
-// While no orders are given nothing that is missing is loaded, so a caller is told
-// at once to come back after that, also for an adapter, which takes no time.
-func TestTellsWhenOrdersAreGivenAgain(t *testing.T) {
+// While no holder gives orders no model is loaded, so a request for one is refused at once with a
+// Retry-After beyond that time. It holds for adapters as well, which take no time to load.
+func TestRetryAfterIncludesTimeUntilOrdersResume(t *testing.T) {
 	for _, known := range []bool{true, false} {
-		inVirtualTime(t, func(b *bench) {
-			b.orders.ordersIn, b.orders.unknown = 2*time.Second, !known
+		inVirtualTime(t, func(b *testbed) {
+			b.orders.ordersIn, b.orders.noHolder = 2*time.Second, !known
 			missing := request("stream", "m", 30*time.Second)
 			missing.Adapter = "a9"
 			started := time.Now()
@@ -86,22 +86,22 @@
 			Expect(time.Since(started)).To(BeZero())
 			expected := 2 * time.Second
 			if !known {
-				expected = unknownDelay
+				expected = takeoverDelay
 			}
 			Expect(outcome.RetryAfter).To(BeNumerically(">=", expected))
-			Expect(outcome.RetryAfter).To(BeNumerically("<", expected+loadOverhead+quietDelay))
+			Expect(outcome.RetryAfter).To(BeNumerically("<", expected+loadOverhead+baseDelay))
 		})
 	}
 }
 
-func TestHoldsARequestThatCameBack(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestHoldsRetriedRequest(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		b.orders.ready = map[string]time.Time{"n": time.Now().Add(1200 * time.Millisecond)}
 		first := b.forwarder.Serve(context.Background(), request("stream", "n", 5*time.Second), &recorder{})
 		Expect(first.Code).To(Equal(result.NoBackEnd))
 		go func() {
 			time.Sleep(1200 * time.Millisecond)
-			b.view.Place([]*fleet.Server{{ID: "m2", Models: holds("n")}})
+			b.view.ApplyPlacements([]*fleet.Server{{ID: "m2", Models: holds("n")}})
 		}()
 		second := b.forwarder.Serve(context.Background(), request("stream", "n", 4*time.Second), &recorder{})
 		Expect(second.Code).To(Equal(result.OK))
@@ -109,7 +109,7 @@
 }
 
 func TestStoppingNodeRefusesWhatItCannotSendInTime(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+	inVirtualTime(t, func(b *testbed) {
 		b.orders.ready = map[string]time.Time{"n": time.Now().Add(3 * time.Second)}
 		started := time.Now()
 		time.AfterFunc(500*time.Millisecond, func() { b.forwarder.Drain(started.Add(time.Second)) })
@@ -121,14 +121,14 @@
 		late := time.Now()
 		outcome = b.forwarder.Serve(context.Background(), request("patient", "n", 10*time.Second), &recorder{})
 		Expect(outcome.Code).To(Equal(result.NodeDraining))
-		Expect(time.Since(late)).To(BeZero(), "what arrives is not held any more")
+		Expect(time.Since(late)).To(BeZero(), "new requests are not held any more")
 		outcome = b.forwarder.Serve(context.Background(), request("patient", "m", 10*time.Second), &recorder{})
-		Expect(outcome.Code).To(Equal(result.OK), "what can be sent is")
+		Expect(outcome.Code).To(Equal(result.OK), "requests that can be sent at once are served")
 	})
 }
 
-func TestRequestThatCameBackIsNotHeldToItsEnd(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestRetriedRequestIsRefusedBeforeItsDeadline(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		b.forwarder.Serve(context.Background(), request("stream", "n", 5*time.Second), &recorder{})
 		started := time.Now()
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "n", 4*time.Second), &recorder{})
@@ -138,53 +138,53 @@
 	})
 }
 
-func TestWaitsForThePlanBeforeItRefuses(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestWaitsForThePlanBeforeRefusing(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		started := time.Now()
 		time.AfterFunc(30*time.Millisecond, func() { b.orders.set("n", started.Add(500*time.Millisecond)) })
 		time.AfterFunc(500*time.Millisecond, func() {
-			b.view.Place([]*fleet.Server{{ID: "m1", Models: holds("m", "n")}})
+			b.view.ApplyPlacements([]*fleet.Server{{ID: "m1", Models: holds("m", "n")}})
 		})
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "n", 5*time.Second), &recorder{})
-		Expect(outcome.Code).To(Equal(result.OK), "the plan's time is within the objective, the store's is not")
+		Expect(outcome.Code).To(Equal(result.OK), "the planned load ends within the objective, the estimated one does not")
 		Expect(outcome.Held).To(BeNumerically(">=", 500*time.Millisecond))
 	})
 }
 
-func TestRefusesByThePlansTime(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestRetryAfterFollowsThePlan(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		started := time.Now()
 		time.AfterFunc(30*time.Millisecond, func() { b.orders.set("n", started.Add(1500*time.Millisecond)) })
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "n", 20*time.Second), &recorder{})
 		Expect(outcome.Code).To(Equal(result.NoBackEnd))
-		Expect(time.Since(started)).To(BeNumerically("<=", planPatience))
-		Expect(time.Since(started) + outcome.RetryAfter).To(BeNumerically("~", 1500*time.Millisecond+quietDelay, 5*time.Millisecond))
+		Expect(time.Since(started)).To(BeNumerically("<=", planWaitLimit))
+		Expect(time.Since(started) + outcome.RetryAfter).To(BeNumerically("~", 1500*time.Millisecond+baseDelay, 5*time.Millisecond))
 	})
 }
 
-func TestWithoutAPlanTheRecordsTell(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestRetryAfterFollowsServerRecordsWithoutAPlan(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		started := time.Now()
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "n", 20*time.Second), &recorder{})
 		Expect(outcome.Code).To(Equal(result.NoBackEnd))
-		Expect(time.Since(started)).To(BeNumerically("<=", planPatience+planPoll))
+		Expect(time.Since(started)).To(BeNumerically("<=", planWaitLimit+planPollPeriod))
 		Expect(time.Since(started) + outcome.RetryAfter).To(BeNumerically("~", 2*time.Second+loadOverhead, 5*time.Millisecond))
 	})
 }
 
-func TestHoldsOnWhereARefusalWouldComeLate(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestHoldsRequestWhereARefusalWouldComeLate(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		started := time.Now()
 		b.orders.set("n", started.Add(400*time.Millisecond))
 		time.AfterFunc(300*time.Millisecond, func() { b.orders.set("n", started.Add(2*time.Second)) })
-		time.AfterFunc(2*time.Second, func() { b.view.Place([]*fleet.Server{{ID: "m1", Models: holds("m", "n")}}) })
+		time.AfterFunc(2*time.Second, func() { b.view.ApplyPlacements([]*fleet.Server{{ID: "m1", Models: holds("m", "n")}}) })
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "n", 5*time.Second), &recorder{})
-		Expect(outcome.Code).To(Equal(result.OK), "refused after 0.3 s, it would be answered later than this")
+		Expect(outcome.Code).To(Equal(result.OK), "after a refusal at 0.3 s, its retry would be answered later")
 	})
 }
 
-func TestRefusesEarlyWhereThePlanSlipsEarly(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestRefusesEarlyWhenThePlanSlipsEarly(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		started := time.Now()
 		b.orders.set("n", started.Add(400*time.Millisecond))
 		time.AfterFunc(110*time.Millisecond, func() { b.orders.set("n", started.Add(2*time.Second)) })
@@ -195,10 +195,10 @@
 }
 
 func TestRefusesWhereTheQueueIsLongerThanTheObjective(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
-		b.view.ReplaceServers(map[string]*fleet.Server{"m1": {ID: "m1", Pool: poolOfModels, Slots: 8, Models: holds("m"), Zone: "z"}})
-		b.forwarder.tracker.ran(poolOfModels, 2*time.Second)
-		b.forwarder.tracker.of("m1").tell(Load{Reported: true, Running: 8, Waiting: 11, Slots: 8}, time.Now())
+	inVirtualTime(t, func(b *testbed) {
+		b.view.ReplaceServers(map[string]*fleet.Server{"m1": {ID: "m1", Pool: modelPool, Slots: 8, Models: holds("m"), Zone: "z"}})
+		b.forwarder.tracker.recordRunTime(modelPool, 2*time.Second)
+		b.forwarder.tracker.of("m1").setReported(Load{Reported: true, Running: 8, Waiting: 11, Slots: 8}, time.Now())
 		started := time.Now()
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 20*time.Second), &recorder{})
 		Expect(outcome.Code).To(Equal(result.QueueFull))
@@ -208,46 +208,46 @@
 	})
 }
 
-func TestWhoCameBackWaitsInTheQueue(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
-		b.view.ReplaceServers(map[string]*fleet.Server{"m1": {ID: "m1", Pool: poolOfModels, Slots: 8, Models: holds("m"), Zone: "z"}})
+func TestRetriedRequestWaitsInTheQueue(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
+		b.view.ReplaceServers(map[string]*fleet.Server{"m1": {ID: "m1", Pool: modelPool, Slots: 8, Models: holds("m"), Zone: "z"}})
 		b.forwarder.Serve(context.Background(), request("stream", "m", 20*time.Second), &recorder{})
-		b.forwarder.tracker.ran(poolOfModels, 2*time.Second)
-		b.forwarder.tracker.of("m1").tell(Load{Reported: true, Running: 8, Waiting: 4, Slots: 8}, time.Now())
+		b.forwarder.tracker.recordRunTime(modelPool, 2*time.Second)
+		b.forwarder.tracker.of("m1").setReported(Load{Reported: true, Running: 8, Waiting: 4, Slots: 8}, time.Now())
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 15*time.Second), &recorder{})
 		Expect(outcome.Code).To(Equal(result.OK))
 	})
 }
 
-func TestRefusesWhatWouldBeAnsweredAfterItsCallerLeaves(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
+func TestRefusesRequestThatWouldBeAnsweredAfterItsCallerLeaves(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
 		for _, patience := range []time.Duration{0, 2 * time.Second} {
 			route := *testRoutes()[0]
-			route.CallerPatience = patience
+			route.CallerWaitLimit = patience
 			b.view.SetConfiguration(fleet.NewConfiguration(2, int64(2+patience), []*fleet.Route{&route}, []*fleet.Pool{{
-				Name: poolOfModels, Engine: testConfiguration().Pools[poolOfModels].Engine,
+				Name: modelPool, Engine: testConfiguration().Pools[modelPool].Engine,
 			}}, fleet.Limits{}))
 			b.forwarder.Serve(context.Background(), request("stream", "m", 20*time.Second), &recorder{})
 			started := time.Now()
 			b.orders.set("n", started.Add(3*time.Second))
-			time.AfterFunc(3*time.Second, func() { b.view.Place([]*fleet.Server{{ID: "m1", Models: holds("m", "n")}}) })
+			time.AfterFunc(3*time.Second, func() { b.view.ApplyPlacements([]*fleet.Server{{ID: "m1", Models: holds("m", "n")}}) })
 			outcome := b.forwarder.Serve(context.Background(), request("stream", "n", 10*time.Second), &recorder{})
 			if patience == 0 {
 				Expect(outcome.Code).To(Equal(result.OK))
-				b.view.ForgetPlaced()
+				b.view.ClearPlacements()
 				continue
 			}
 			Expect(outcome.Code).To(Equal(result.NoBackEnd))
-			Expect(time.Since(started)).To(BeZero(), "it gets its final answer at once")
+			Expect(time.Since(started)).To(BeZero(), "it is refused at once")
 			Expect(outcome.RetryAfter).To(BeNumerically(">", 3*time.Second))
 		}
 	})
 }
 
-func TestShortestQueueCounts(t *testing.T) {
-	inVirtualTime(t, func(b *bench) {
-		b.forwarder.tracker.ran(poolOfModels, 2*time.Second)
-		b.forwarder.tracker.of("m2").tell(Load{Reported: true, Running: 8, Waiting: 11, Slots: 8}, time.Now())
+func TestQueueWaitIsThatOfTheShortestQueue(t *testing.T) {
+	inVirtualTime(t, func(b *testbed) {
+		b.forwarder.tracker.recordRunTime(modelPool, 2*time.Second)
+		b.forwarder.tracker.of("m2").setReported(Load{Reported: true, Running: 8, Waiting: 11, Slots: 8}, time.Now())
 		b.backend.answer["m1"] = streams(events(1, 3), time.Millisecond, io.EOF)
 		outcome := b.forwarder.Serve(context.Background(), request("stream", "m", 20*time.Second), &recorder{})
 		Expect(outcome.Server).To(Equal("m1"))
--- a/internal/orders/engines.go
+++ b/internal/orders/engines.go
@@ -53,7 +53,7 @@
 	Sequence int64
 	// Busy is set while an order is in progress.
 	Busy   bool
-	Models map[string]fleet.Held
+	Models map[string]fleet.LoadedModel
 	// InMemory and OnDisk are the models whose weights are cached there.
 	InMemory, OnDisk map[string]bool
 }
--- a/internal/orders/holder.go
+++ b/internal/orders/holder.go
@@ -191,7 +191,7 @@
 // plan plans one pool and starts its orders. It must be called with the lock held.
 func (h *Holder) plan(ctx context.Context, term *Term, pool string, engine *fleet.Engine, now time.Time) {
 	inProgress := h.servers.storeLoads(now)
-	h.loadLimiter.limitInitialConcurrency(engine.LongestLoad())
+	h.loadLimiter.limitInitialConcurrency(engine.MaxLoadTime())
 	demand := h.demand.poolDemand(pool, now)
 	sample := h.servers.sample(pool, demand, now)
 	input := placement.Input{
@@ -237,7 +237,7 @@
 	case placement.LoadAdapter:
 		model := engine.Models[action.Model]
 		_, holds := target.models[action.Model]
-		return holds && model != nil && target.adapterCount() < engine.AdapterPlaces &&
+		return holds && model != nil && target.adapterCount() < engine.AdapterSlots &&
 			target.usedMB(engine)+model.AdapterMB <= engine.MemoryMB
 	}
 	return true
--- a/internal/orders/link.go
+++ b/internal/orders/link.go
@@ -239,7 +239,7 @@
 		return
 	}
 	if update.Token > l.token {
-		l.config.View.ForgetPlaced()
+		l.config.View.ClearPlacements()
 		l.token, l.version = update.Token, 0
 		l.limitsReported, l.limitsReceived = 0, 0
 		clear(l.readyTimes)
@@ -261,7 +261,7 @@
 		l.limitsReceived = max(l.limitsReceived, update.LimitsVersion)
 	}
 	if len(update.Servers) > 0 {
-		l.config.View.Place(placedServers(update.Servers, now))
+		l.config.View.ApplyPlacements(placedServers(update.Servers, now))
 	}
 	if update.Nodes > 0 {
 		l.config.SetNodes(update.Nodes)
@@ -276,10 +276,10 @@
 	servers := make([]*fleet.Server, len(states))
 	for i, state := range states {
 		server := &fleet.Server{
-			ID: state.ID, Models: map[string]fleet.Held{}, PlacedVersion: state.Version, Created: state.Created, SeenAt: now,
+			ID: state.ID, Models: map[string]fleet.LoadedModel{}, PlacementVersion: state.Version, Created: state.Created, SeenAt: now,
 		}
 		for name, adapters := range state.Models {
-			server.Models[name] = fleet.NewHeld(adapters)
+			server.Models[name] = fleet.NewLoadedModel(adapters)
 		}
 		servers[i] = server
 	}
@@ -296,7 +296,7 @@
 	l.updatedAt = time.Time{}
 	l.version = 0
 	clear(l.readyTimes)
-	l.config.View.ForgetPlaced()
+	l.config.View.ClearPlacements()
 	l.config.Logger.Warn().Int64("token", l.token).Msg("no update from the holder; using the servers' records again")
 }
 
--- a/internal/orders/messages.go
+++ b/internal/orders/messages.go
@@ -40,7 +40,7 @@
 	Rows     []DemandRow
 	// Leaving are the servers that announced in answers to this node that they shut down.
 	// They need a replacement, and their records may show it much later.
-	Leaving []fleet.Life
+	Leaving []fleet.Incarnation
 	// Token and Version are those of the newest placement that the node has.
 	Token   int64
 	Version uint64
--- a/internal/orders/term_test.go
+++ b/internal/orders/term_test.go
@@ -95,7 +95,7 @@
 	}
 	servers := newServerTable()
 	servers.sync(snapshot(5), time.Now())
-	servers.applyReport(servers.entries["s"], Report{Models: map[string]fleet.Held{"m": {}}}, time.Now())
+	servers.applyReport(servers.entries["s"], Report{Models: map[string]fleet.LoadedModel{"m": {}}}, time.Now())
 	sent := servers.version
 	servers.sync(snapshot(5), time.Now())
 	Expect(servers.statesAfter(sent)).To(BeEmpty())
@@ -107,16 +107,16 @@
 // An order that was carried out after the last report shows in the server's record.
 func TestRecordThatShowsOtherModelsMakesAnEntryStale(t *testing.T) {
 	reportedAt := time.Now()
-	held := func(names ...string) map[string]fleet.Held {
-		models := map[string]fleet.Held{}
+	held := func(names ...string) map[string]fleet.LoadedModel {
+		models := map[string]fleet.LoadedModel{}
 		for _, name := range names {
-			models[name] = fleet.Held{}
+			models[name] = fleet.LoadedModel{}
 		}
 		return models
 	}
 	cases := map[string]struct {
 		hasReported  bool
-		record       map[string]fleet.Held
+		record       map[string]fleet.LoadedModel
 		writtenAfter time.Duration
 		stale        bool
 	}{
--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -53,7 +53,7 @@
 switch_off reserved-headers platform/header_filter.go '&& !reserved(name)' '' ./platform
 switch_off headers-of-connection platform/header_filter.go 'if clientHeaders[name] {' 'if clientHeaders[name] && !connection[name] {' ./platform
 switch_off key-required internal/forward/tenant.go 'if route.Anonymous {' 'if true || route.Anonymous {' ./platform
-switch_off key-maybe-new internal/forward/tenant.go 'if f.behind() {' 'if false && f.behind() {' ./platform
+switch_off key-maybe-new internal/forward/tenant.go 'if f.mayBeStale() {' 'if false && f.mayBeStale() {' ./platform
 switch_off quota-asked internal/forward/tenant.go 'if within {' 'if true || within {' ./platform
 switch_off quota-given-back internal/forward/forwarder.go 'f.returnQuota(request)' '' ./platform
 switch_off tenant-before-route internal/fleet/priority.go 'ofTenant*len(r.ofRoutes)+ofRoute' 'ofRoute*len(r.ofTenants)+ofTenant' ./internal/fleet ./platform
@@ -86,16 +86,16 @@
 switch_off limit-newest-word internal/notice/limits.go 'known.at.After(at) &&' 'false &&' ./internal/notice
 switch_off limit-ended-by-later internal/notice/limits.go 'asked.At.After(e.at)' 'true' ./internal/notice
 switch_off limit-of-orders internal/orders/capacity.go 'grant := h.config.Limits.Take(ctx, server, serverlimit.Need{MaxWait: serverlimit.Window})' 'grant := serverlimit.Grant{Within: true}' ./platform
-switch_off limit-given-back internal/forward/attempt.go 'f.limits.Return(place.grant)' '_ = place.grant' ./internal/forward
-switch_off limit-after-choice internal/forward/attempt.go '|| f.newlyLimited(place)' '' ./internal/forward
-switch_off limit-refused-at-once internal/forward/admission.go 'turnless := able &&' 'turnless := false && able &&' ./internal/forward
+switch_off limit-given-back internal/forward/attempt.go 'f.limits.Return(target.grant)' '_ = target.grant' ./internal/forward
+switch_off limit-after-choice internal/forward/attempt.go '|| f.newlyLimited(target)' '' ./internal/forward
+switch_off limit-refused-at-once internal/forward/admission.go 'noSlot := eligible &&' 'noSlot := false && eligible &&' ./internal/forward
 switch_off limit-urgent-first internal/serverlimit/serverlimit.go 'min(need.MaxWait, horizon(need.Rank))' 'need.MaxWait' ./platform
 switch_off limit-last-choice internal/forward/choose.go '+ f.limitPenalty(flow, c.server)' '' ./internal/forward ./platform
 switch_off limit-little-use internal/placement/plan.go '+ p.replicasOfLittleUse(model, demand)' '' ./platform
 switch_off limit-refusal-ends internal/forward/limit.go 'if !f.limits.Limited(server) {' 'if false {' ./internal/forward
 switch_off counters-of-most internal/orders/counters.go 'if majorityReports(earlier.Addresses, live) {' 'if true {' ./platform
 switch_off counters-lost internal/orders/counters.go '|| now.Sub(h.countersMajorityAt) >= countersTimeout' '' ./platform
-switch_off poison-vouched internal/poison/spread.go 'if served := g.endsWithServed(ends); len(served) > 0 {' 'if served := g.endsWithServed(ends); len(served) < 0 {' ./internal/poison
+switch_off poison-vouched internal/poison/spread.go 'if served := g.crashesWithServed(crashes); len(served) > 0 {' 'if served := g.crashesWithServed(crashes); len(served) < 0 {' ./internal/poison
 switch_off poison-never-served internal/poison/ledger.go 'len(unseen) > 0 {' 'false && len(unseen) > 0 {' ./internal/poison
 switch_off limit-quorum-wakes internal/ratelimit/ask.go 'if !l.lookAgain(now) {' 'if true {' ./platform ./internal/ratelimit
 switch_off first-loads-at-once internal/orders/load_limiter.go 'if !l.measured && loadTime > 0 {' 'if false && !l.measured && loadTime > 0 {' ./internal/orders
@@ -111,12 +111,12 @@
 switch_off torn-answer-closes platform/ingress.go 'case outcome.HeadSent || outcome.Code == result.CallerGone:
 		// Only a closed connection tells the client that the response is incomplete.
 		panic(http.ErrAbortHandler)' 'case outcome.HeadSent || outcome.Code == result.CallerGone:' ./platform
-switch_off whole-short-answers internal/forward/relay.go 'whole, err := io.ReadAll(io.LimitReader(reply.Body, wholeAnswerBytes))
-	if err != nil {' 'whole, err := io.ReadAll(io.LimitReader(reply.Body, wholeAnswerBytes))
+switch_off whole-short-answers internal/forward/relay.go 'buffered, err := io.ReadAll(io.LimitReader(reply.Body, maxBufferedBytes))
+	if err != nil {' 'buffered, err := io.ReadAll(io.LimitReader(reply.Body, maxBufferedBytes))
 	if false && err != nil {' $forward ./platform
 switch_off honest-status platform/ingress.go 'if outcome.Ran == result.RanNo {' 'if true {' ./platform
 # Streams.
-switch_off whole-events internal/forward/relay.go 'if errors.Is(err, io.EOF) && len(bytes.TrimSpace(r.rest)) > 0 {' 'if false {' $forward
+switch_off whole-events internal/forward/relay.go 'if errors.Is(err, io.EOF) && len(bytes.TrimSpace(r.partial)) > 0 {' 'if false {' $forward
 switch_off no-repeated-events internal/forward/relay.go 'if resumed {' 'if false && resumed {' $forward
 switch_off resume-after platform/backend.go 'if attempt.ResumeAfter != "" {' 'if false {' ./platform
 switch_off silent-stream internal/forward/relay.go 'func() { cancel(errSilent) }' 'func() {}' $forward
@@ -147,7 +147,7 @@
 switch_off lapse-without-relay internal/mirror/grace.go 'if m.storeUnavailable && !m.following {' 'if m.storeUnavailable {' ./internal/mirror
 switch_off lapse-ends internal/mirror/grace.go 'time.AfterFunc(end.Sub(now), m.endGrace)' '' ./internal/mirror
 switch_off pause-after-failure internal/mirror/reading.go 'min(max(2*m.failurePause, minFailurePause), maxPause)' 'min(minFailurePause, maxPause)' ./internal/mirror
-switch_off latest-word internal/fleet/view.go 'before.PlacedVersion > state.PlacedVersion' 'false' ./internal/fleet
+switch_off latest-word internal/fleet/view.go 'before.PlacementVersion > state.PlacementVersion' 'false' ./internal/fleet
 switch_off word-of-earlier-record internal/fleet/view.go 'if placed.Created < oldest {' 'if oldest < 0 {' ./internal/fleet
 # Choice and admission.
 switch_off pause-of-unreached internal/forward/choose.go 'return !now.Before(load.backoffUntil)' 'return true' $forward
@@ -156,10 +156,10 @@
 switch_off plan-times internal/forward/admission.go '; coming {' '; coming && false {' $forward
 switch_off word-of-the-plan internal/forward/admission.go 'if active && held < planPatience {' 'if false {' $forward
 switch_off hold-on internal/forward/admission.go 'return held > ' 'return held < 0 && held > ' $forward
-switch_off place-before-switchover internal/forward/switchover.go 'if s.place == nil {' 'if false {' $forward
-switch_off budget-before-switchover internal/forward/switchover.go 'if !f.budgets.repeat(asked.pool, now) {' 'if false {' $forward
-switch_off missing-model internal/forward/choose.go 'return !now.Before(load.missing[flow.need()])' 'return true' $forward
-switch_off full-server internal/forward/choose.go 'return load.estimate(now) < overfull*max(server.Slots, 1)' 'return true' $forward
+switch_off place-before-switchover internal/forward/switchover.go 'if s.target == nil {' 'if false {' $forward
+switch_off budget-before-switchover internal/forward/switchover.go 'if !f.budgets.takeRetry(flow.pool, now) {' 'if false {' $forward
+switch_off missing-model internal/forward/choose.go 'return !now.Before(load.notHeldUntil[flow.modelAndAdapter()])' 'return true' $forward
+switch_off full-server internal/forward/choose.go 'return load.estimate(now) < maxRequestsPerSlot*max(server.Slots, 1)' 'return true' $forward
 switch_off refusal-at-once internal/forward/admission.go 'code := result.NoBackEnd' 'if now.Before(flow.deadline) {
 		return nil
 	}
@@ -210,33 +210,33 @@
 # Requests that end servers.
 poison="./internal/poison"
 switch_off poison-refused internal/forward/forwarder.go 'if entry, held := f.poison.Held(request.Identity); held {' 'if entry, held := f.poison.Held(request.Identity); false && held {' $forward
-switch_off poison-refused-later internal/forward/admission.go 'if refusal := f.refusePoisonAfterAll(flow); refusal != nil {' 'if refusal := f.refusePoisonAfterAll(flow); false && refusal != nil {' $forward
-switch_off poison-no-switchover internal/forward/switchover.go 'if _, held := f.poison.Held(asked.request.Identity); held {' 'if _, held := f.poison.Held(asked.request.Identity); false && held {' $forward
-switch_off callers-leave-no-ends internal/forward/poison.go 'if errors.As(err, &ofCaller) {' 'if errors.As(err, &ofCaller) && false {' $forward
+switch_off poison-refused-later internal/forward/admission.go 'if refusal := f.refuseNewlyQuarantined(flow); refusal != nil {' 'if refusal := f.refuseNewlyQuarantined(flow); false && refusal != nil {' $forward
+switch_off poison-no-switchover internal/forward/switchover.go 'if _, held := f.poison.Held(flow.request.Identity); held {' 'if _, held := f.poison.Held(flow.request.Identity); false && held {' $forward
+switch_off callers-leave-no-ends internal/forward/poison.go 'if errors.As(err, &fromCaller) {' 'if errors.As(err, &fromCaller) && false {' $forward
 switch_off unframed-is-no-proof internal/forward/poison.go 'case reply.Unframed:' 'case false:' $forward
 switch_off planned-ends internal/poison/guard.go 'return listed == nil || listed.Draining' 'return listed == nil && false' $poison
 switch_off servers-that-live internal/poison/suspects.go 'if !attempt.at.After(before) {' 'if false && attempt.at.After(before) {' $poison
 switch_off ends-by-records internal/poison/guard.go 'g.Ended(id, "its record is gone")' '' $poison
-switch_off explained-ends internal/poison/server_end.go 'if held(identity) {
-			return true' 'if held(identity) {
+switch_off explained-ends internal/poison/server_end.go 'if isQuarantined(identity) {
+			return true' 'if isQuarantined(identity) {
 			return false' $poison
 switch_off served-since internal/poison/spread.go 'return known && began.After(since)' 'return false && known && began.After(since)' $poison
-switch_off poison-likeliest internal/poison/ambiguity.go 'cmp.Compare(l.spread(a), l.spread(b))' 'cmp.Compare(l.spread(b), l.spread(a))' $poison
+switch_off poison-likeliest internal/poison/ambiguity.go 'cmp.Compare(l.elapsedRange(a), l.elapsedRange(b))' 'cmp.Compare(l.elapsedRange(b), l.elapsedRange(a))' $poison
 switch_off poison-provisional internal/poison/ledger.go 'if !entry.provisional() {' 'if true {' $poison
 switch_off poison-confirmed internal/poison/guard.go 'g.confirm(now)' '' $poison
-switch_off poison-rivals-served internal/poison/guard.go 'g.clearRival(identity, began)' '' $poison
+switch_off poison-rivals-served internal/poison/guard.go 'g.reportRivalServed(identity, began)' '' $poison
 switch_off poison-explained internal/poison/spread.go 'for _, identity := range explained {' 'for _, identity := range explained[:0] {' $poison
-switch_off poison-settled internal/poison/ledger.go 'end.settled = true' '' $poison
+switch_off poison-settled internal/poison/ledger.go 'crash.settled = true' '' $poison
 switch_off ends-keep-their-time internal/poison/ledger.go 'at := now.Add(-reported.Age)' 'at := now' $poison
 switch_off released-ends-unshared internal/poison/spread.go 'g.shared.clear(identity)' '' $poison
-switch_off ends-by-the-store internal/poison/spread.go 'g.shared.add(report.ends, now)' '' $poison
-switch_off entries-saved internal/poison/spread.go 'g.record.wanted(entry, time.Now())' '_ = entry' $poison
+switch_off ends-by-the-store internal/poison/spread.go 'g.shared.add(report.crashes, now)' '' $poison
+switch_off entries-saved internal/poison/spread.go 'g.entryStore.save(entry, time.Now())' '_ = entry' $poison
 switch_off entries-to-followers internal/poison/spread.go 'addresses := g.config.Followers()' 'var addresses []string' $poison
-switch_off objections internal/poison/quarantine.go '&& !now.Before(held.refusesFrom)' '' $poison
-switch_off past-holds internal/poison/ledger.go '(before || t.all > endsToHold)' '(t.all > endsToHold)' $poison
+switch_off objections internal/poison/quarantine.go '&& !now.Before(entry.refusesFrom)' '' $poison
+switch_off past-holds internal/poison/ledger.go '(quarantinedBefore || c.all > crashThreshold)' '(c.all > crashThreshold)' $poison
 # What servers tell in their answers.
 switch_off word-of-leaving platform/notices.go 'Leaving: response.Header.Get(headerLeaving) == leavingTrue' 'Leaving: false' ./platform
-switch_off leaving-beside-records internal/fleet/view.go 'if len(v.leaving) == 0 || !v.leaving.has(server.Life()) {' 'if true {' ./internal/fleet
+switch_off leaving-beside-records internal/fleet/view.go 'if len(v.leaving) == 0 || !v.leaving.has(server.Incarnation()) {' 'if true {' ./internal/fleet
 switch_off leaving-by-life internal/fleet/leaving.go 'case later(record.Born, known.born):' 'case false:' ./internal/fleet
 switch_off leaving-told-to-holder internal/orders/link.go 'Leaving: l.config.View.Leaving(),' '' ./platform
 switch_off backoff-of-requests internal/forward/choose.go 'if fits && backoff <= 0 {' 'if fits {' $forward
@@ -256,19 +256,19 @@
 switch_off era-of-subscribers internal/mirror/relay.go '&& !behind' '' ./internal/mirror
 switch_off rereads-bounded internal/mirror/restore.go 'if now.Sub(m.rereadAt) < rereadInterval {' 'if false {' ./internal/mirror
 switch_off newer-configuration-stays internal/mirror/apply.go 'changes = m.keepNewer(changes)' '' $restores
-switch_off draining-stays internal/mirror/restore.go 'm.config.View.SetLeaving(before.Life())' '_ = before' $restores
+switch_off draining-stays internal/mirror/restore.go 'm.config.View.SetLeaving(before.Incarnation())' '_ = before' $restores
 switch_off ended-stay internal/mirror/restore.go 'removed && !inGrace' 'removed && !inGrace && false' $restores
 switch_off copies-after-restore internal/mirror/restore.go 'm.manifest, m.manifestRevision = snapshotManifest{}, 0' '' ./internal/mirror
 switch_off era-asked-at-once internal/mirror/reading.go 'return minWait, 0' '' $restores
 switch_off renewals-unconfirmed internal/orders/renewal.go 'err == nil && !e.restoredSince(term)' 'err == nil' $restores
 switch_off last-holder-lost internal/orders/restore.go "return era > 0 && (last == nil" "return era > 0 && last != nil && last.Name == \"\" && (last == nil" $restores
-switch_off entries-outlast-restores internal/poison/guard.go 'g.record.restored(keyValues)' 'g.record.replace(keyValues)' ./internal/poison -run Restore
+switch_off entries-outlast-restores internal/poison/guard.go 'g.entryStore.restored(keyValues)' 'g.entryStore.replace(keyValues)' ./internal/poison -run Restore
 switch_off counters-saved-again internal/orders/counters_store.go 's.revision, s.saved = 0, ratelimit.Counters{}' '' ./platform
 switch_off rollback-noticed internal/outside/etcd/rollback.go 'if revision >= floor {' 'if true {' ./internal/outside/etcd
 # Life of a process.
 switch_off not-ready-when-stopping internal/edge/process.go 'if p.Stopping() {' 'if false {' ./internal/edge
 switch_off stop-takes-what-arrives internal/edge/process.go 'time.Sleep(min(acceptAfterStop, p.settings.Stop.Grace/2))' '' ./internal/edge
-switch_off end-answers-all internal/forward/forwarder.go 'func (f *Forwarder) Close() { f.end() }' 'func (f *Forwarder) Close() {}' $forward
+switch_off end-answers-all internal/forward/forwarder.go 'func (f *Forwarder) Close() { f.cancel() }' 'func (f *Forwarder) Close() {}' $forward
 switch_off drain-refuses internal/forward/admission.go 'return f.giveUp(flow, "the node is stopping", result.NodeDraining)' '' $forward
 switch_off log-never-blocks internal/edge/log.go 'logging.NewLogger(writer, level, node)' 'logging.NewLogger(output, level, node)' ./internal/edge
 exit $missed
