--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -162,7 +162,7 @@
 	if route == nil {
 		return Outcome{Code: result.UnknownPath, Reason: "no route"}
 	}
-	if entry, held := f.poison.Held(request.Identity); held {
+	if entry, held := f.poison.Refused(request.Identity); held {
 		return refusePoison(entry, route)
 	}
 	if refusal := f.admitTenant(ctx, snapshot.Configuration, route, request); refusal != nil {
--- a/internal/forward/poison.go
+++ b/internal/forward/poison.go
@@ -14,27 +14,27 @@
 
 // PoisonGuard detects poison requests, that is, requests that crash servers, and quarantines them.
 type PoisonGuard interface {
-	// Held returns the quarantine entry of an identity, if there is one.
-	Held(identity poison.Identity) (poison.Entry, bool)
-	// Broke reports that a server closed the connection of an attempt that began at the time,
-	// before its response was complete.
-	Broke(ctx context.Context, identity poison.Identity, server *fleet.Server, began time.Time)
-	// Ended reports a proof that a server's process has ended.
-	Ended(server, proof string)
-	// Served reports that an attempt that began at the time got a complete response.
-	Served(identity poison.Identity, began time.Time)
+	// Refused returns the quarantine entry of an identity, if there is one.
+	Refused(identity poison.Identity) (poison.Entry, bool)
+	// AttemptBroken reports that a server closed the connection of an attempt that began at the
+	// time, before its response was complete.
+	AttemptBroken(ctx context.Context, identity poison.Identity, server *fleet.Server, began time.Time)
+	// ServerCrashed reports a proof that a server's process has ended.
+	ServerCrashed(server, proof string)
+	// RequestServed reports that an attempt that began at the time got a complete response.
+	RequestServed(identity poison.Identity, began time.Time)
 }
 
 // noPoison quarantines nothing.
 type noPoison struct{}
 
-func (noPoison) Held(poison.Identity) (poison.Entry, bool) { return poison.Entry{}, false }
+func (noPoison) Refused(poison.Identity) (poison.Entry, bool) { return poison.Entry{}, false }
 
-func (noPoison) Broke(context.Context, poison.Identity, *fleet.Server, time.Time) {}
+func (noPoison) AttemptBroken(context.Context, poison.Identity, *fleet.Server, time.Time) {}
 
-func (noPoison) Ended(string, string) {}
+func (noPoison) ServerCrashed(string, string) {}
 
-func (noPoison) Served(poison.Identity, time.Time) {}
+func (noPoison) RequestServed(poison.Identity, time.Time) {}
 
 const poisonReason = "servers ended while they ran this request"
 
@@ -47,7 +47,7 @@
 // refuseNewlyQuarantined ends a request that was quarantined while it was held or between two
 // attempts; nil if it may go on.
 func (f *Forwarder) refuseNewlyQuarantined(flow *flow) *Outcome {
-	entry, held := f.poison.Held(flow.request.Identity)
+	entry, held := f.poison.Refused(flow.request.Identity)
 	if !held {
 		return nil
 	}
@@ -63,11 +63,11 @@
 func (f *Forwarder) reportCrash(ctx context.Context, flow *flow, server *fleet.Server, failure *AttemptError) {
 	switch {
 	case failure.Reason == FailureConnect && errors.Is(failure.Cause, syscall.ECONNREFUSED):
-		f.poison.Ended(server.ID, "refuses connections")
+		f.poison.ServerCrashed(server.ID, "refuses connections")
 	case failure.Reason == FailureOtherInstance:
-		f.poison.Ended(server.ID, "another instance answers")
+		f.poison.ServerCrashed(server.ID, "another instance answers")
 	case failure.Reason == FailureBroken && ctx.Err() == nil && closedByServer(failure.Cause):
-		f.poison.Broke(ctx, flow.request.Identity, server, flow.attemptStarted)
+		f.poison.AttemptBroken(ctx, flow.request.Identity, server, flow.attemptStarted)
 	}
 }
 
@@ -76,9 +76,9 @@
 func (f *Forwarder) reportServed(ctx context.Context, flow *flow, server *fleet.Server, reply *Reply, started time.Time) {
 	switch {
 	case reply.Unframed:
-		f.poison.Broke(ctx, flow.request.Identity, server, started)
+		f.poison.AttemptBroken(ctx, flow.request.Identity, server, started)
 	case reply.Status < minFailureStatus:
-		f.poison.Served(flow.request.Identity, started)
+		f.poison.RequestServed(flow.request.Identity, started)
 	}
 }
 
--- a/internal/forward/poison_test.go
+++ b/internal/forward/poison_test.go
@@ -25,7 +25,7 @@
 	served int
 }
 
-func (g *fakeGuard) Held(identity poison.Identity) (poison.Entry, bool) {
+func (g *fakeGuard) Refused(identity poison.Identity) (poison.Entry, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return poison.Entry{Identity: identity, Until: g.until}, time.Now().Before(g.until)
@@ -38,19 +38,19 @@
 	g.until = time.Now().Add(span)
 }
 
-func (g *fakeGuard) Broke(_ context.Context, _ poison.Identity, server *fleet.Server, _ time.Time) {
+func (g *fakeGuard) AttemptBroken(_ context.Context, _ poison.Identity, server *fleet.Server, _ time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.broke = append(g.broke, server.ID)
 }
 
-func (g *fakeGuard) Ended(server, _ string) {
+func (g *fakeGuard) ServerCrashed(server, _ string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.ended = append(g.ended, server)
 }
 
-func (g *fakeGuard) Served(poison.Identity, time.Time) {
+func (g *fakeGuard) RequestServed(poison.Identity, time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.served++
--- a/internal/poison/fakes_test.go
+++ b/internal/poison/fakes_test.go
@@ -231,7 +231,7 @@
 	c.mutex.Unlock()
 	for n, identities := range under {
 		for _, identity := range identities {
-			n.guard.Broke(context.Background(), identity, server, time.Now())
+			n.guard.AttemptBroken(context.Background(), identity, server, time.Now())
 		}
 	}
 }
@@ -240,7 +240,7 @@
 func (c *cluster) refusedBy(identity Identity) int {
 	count := 0
 	for _, n := range c.nodes {
-		if _, refused := n.guard.Held(identity); refused {
+		if _, refused := n.guard.Refused(identity); refused {
 			count++
 		}
 	}
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -112,8 +112,8 @@
 	return g
 }
 
-// Held returns the entry by which an identity is refused.
-func (g *Guard) Held(identity Identity) (Entry, bool) {
+// Refused returns the entry by which an identity is refused.
+func (g *Guard) Refused(identity Identity) (Entry, bool) {
 	return g.quarantine.Refused(identity, time.Now())
 }
 
@@ -143,8 +143,9 @@
 	}
 }
 
-// Served records that a server which began a request at the given time served it completely.
-func (g *Guard) Served(identity Identity, began time.Time) {
+// RequestServed records that a server which began a request at the given time served it
+// completely.
+func (g *Guard) RequestServed(identity Identity, began time.Time) {
 	if identity.IsZero() {
 		return
 	}
@@ -152,11 +153,11 @@
 	g.reportRivalServed(identity, began)
 }
 
-// Broke records that a server closed the connection of an attempt, begun at the given time,
-// before its answer was complete. The attempt counts once the server is proved to have crashed,
-// and not where its shutdown was planned: a server that drains or has deregistered stops in an
-// orderly way.
-func (g *Guard) Broke(ctx context.Context, identity Identity, server *fleet.Server, began time.Time) {
+// AttemptBroken records that a server closed the connection of an attempt, begun at the given
+// time, before its answer was complete. The attempt counts once the server is proved to have
+// crashed, and not where its shutdown was planned: a server that drains or has deregistered
+// stops in an orderly way.
+func (g *Guard) AttemptBroken(ctx context.Context, identity Identity, server *fleet.Server, began time.Time) {
 	if identity.IsZero() || g.leftAsPlanned(server.ID) {
 		return
 	}
@@ -195,7 +196,7 @@
 		for _, after := range []time.Duration{firstProbeDelay, secondProbeDelay} {
 			time.Sleep(time.Until(began.Add(after)))
 			if err = g.config.Connect(ctx, server.Address); errors.Is(err, syscall.ECONNREFUSED) {
-				g.Ended(server.ID, "refuses connections")
+				g.ServerCrashed(server.ID, "refuses connections")
 				return
 			}
 		}
@@ -207,8 +208,8 @@
 	}
 }
 
-// Ended records that a server is known to have crashed.
-func (g *Guard) Ended(server, proof string) {
+// ServerCrashed records that a server is known to have crashed.
+func (g *Guard) ServerCrashed(server, proof string) {
 	suspects, brokeAt := g.suspects.confirmCrash(server)
 	if len(suspects) == 0 {
 		return
@@ -283,9 +284,9 @@
 	for id, address := range unresolved {
 		switch {
 		case servers[id] == nil:
-			g.Ended(id, "its record is gone")
+			g.ServerCrashed(id, "its record is gone")
 		case owner[address] != id:
-			g.Ended(id, "another server has its address")
+			g.ServerCrashed(id, "another server has its address")
 		}
 	}
 }
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -132,13 +132,13 @@
 				both := numbered(0, 2)
 				began := time.Now()
 				if test.served < 0 {
-					c.nodes[3].guard.Served(both[1], began.Add(test.served))
+					c.nodes[3].guard.RequestServed(both[1], began.Add(test.served))
 				}
 				for i := range 3 {
 					c.crash(c.server(fmt.Sprint("s", i)), map[*node][]Identity{c.nodes[i]: both})
 					time.Sleep(time.Second)
 					if i == 1 && test.served > 0 {
-						c.nodes[3].guard.Served(both[1], began.Add(test.served))
+						c.nodes[3].guard.RequestServed(both[1], began.Add(test.served))
 					}
 				}
 				time.Sleep(propagationLimit)
@@ -162,7 +162,7 @@
 			time.AfterFunc(100*time.Millisecond, func() { c.refuse(server) })
 		}, true},
 		"another instance answers": {func(c *cluster, server *fleet.Server) {
-			c.nodes[0].guard.Ended(server.ID, "another instance answers")
+			c.nodes[0].guard.ServerCrashed(server.ID, "another instance answers")
 		}, true},
 		"its record is deleted, and its address is unresponsive": {func(c *cluster, server *fleet.Server) {
 			c.makeUnresponsive(server)
@@ -178,7 +178,7 @@
 		"crashes seconds later": {func(c *cluster, server *fleet.Server) {
 			time.AfterFunc(2*time.Second, func() {
 				c.refuse(server)
-				c.nodes[0].guard.Ended(server.ID, "refuses connections")
+				c.nodes[0].guard.ServerCrashed(server.ID, "refuses connections")
 			})
 		}, false},
 	}
@@ -188,7 +188,7 @@
 				poison := numbered(0, 1)
 				for i := range crashThreshold {
 					server := c.server(fmt.Sprint("s", i))
-					c.nodes[0].guard.Broke(context.Background(), poison[0], server, time.Now())
+					c.nodes[0].guard.AttemptBroken(context.Background(), poison[0], server, time.Now())
 					test.react(c, server)
 					time.Sleep(5 * time.Second)
 				}
@@ -245,7 +245,7 @@
 			time.Sleep(3 * time.Second)
 		}
 		crash(0, c.nodes[0])
-		c.nodes[2].guard.Served(unrelated[0], time.Now())
+		c.nodes[2].guard.RequestServed(unrelated[0], time.Now())
 		crash(1, c.nodes[0])
 		c.nodes[1].stop()
 		c.nodes[1] = c.start(c.nodes[1].address)
@@ -276,7 +276,7 @@
 	runInCluster(t, 1, 1, func(c *cluster) {
 		server := c.server("s")
 		for _, identity := range numbered(0, 100) {
-			c.nodes[0].guard.Broke(context.Background(), identity, server, time.Now())
+			c.nodes[0].guard.AttemptBroken(context.Background(), identity, server, time.Now())
 			time.Sleep(10 * time.Millisecond)
 		}
 		Expect(c.probeCount()).To(BeNumerically("<=", 2*4))
@@ -343,7 +343,7 @@
 			c.crash(c.server(fmt.Sprint("s", i)), map[*node][]Identity{c.nodes[0]: unrelated})
 			time.Sleep(3 * time.Second)
 			if i == crashThreshold-2 {
-				c.nodes[0].guard.Served(unrelated[0], time.Now())
+				c.nodes[0].guard.RequestServed(unrelated[0], time.Now())
 				time.Sleep(time.Second)
 			}
 		}
@@ -371,7 +371,7 @@
 			c.crash(c.server(fmt.Sprint("s", i)), map[*node][]Identity{c.nodes[i]: both})
 			if i < 2 {
 				time.Sleep(time.Second)
-				c.nodes[3].guard.Served(both[1], time.Now())
+				c.nodes[3].guard.RequestServed(both[1], time.Now())
 			}
 		}
 		for range 1000 {
@@ -394,7 +394,7 @@
 func TestRequestThatCrashesServersAfterItWasServedIsRefused(t *testing.T) {
 	runInCluster(t, 4, 3, func(c *cluster) {
 		request := numbered(0, 1)
-		c.nodes[3].guard.Served(request[0], time.Now())
+		c.nodes[3].guard.RequestServed(request[0], time.Now())
 		time.Sleep(time.Second)
 		c.crashThree(request, c.nodes[0], c.nodes[1], c.nodes[2])
 		Expect(c.refusedBy(request[0])).To(Equal(4))
@@ -409,7 +409,7 @@
 func TestNodeWithNothingRunningReportsWhatItHasServed(t *testing.T) {
 	runInCluster(t, 4, 4, func(c *cluster) {
 		both := numbered(0, 2)
-		c.nodes[0].guard.Served(both[1], time.Now())
+		c.nodes[0].guard.RequestServed(both[1], time.Now())
 		time.Sleep(time.Second)
 		c.crashThree(both, c.nodes[1], c.nodes[2], c.nodes[1])
 		Expect(c.refusedBy(both[0])).To(Equal(4))
--- a/internal/poison/traffic_test.go
+++ b/internal/poison/traffic_test.go
@@ -89,7 +89,7 @@
 	t.crashes++
 	t.refuse(server.server)
 	for _, run := range server.runs {
-		run.node.guard.Broke(context.Background(), run.identity, server.server, run.began)
+		run.node.guard.AttemptBroken(context.Background(), run.identity, server.server, run.began)
 	}
 	time.AfterFunc(restartTime, func() {
 		t.mutex.Lock()
@@ -105,7 +105,7 @@
 		return 0
 	}
 	run := t.begin(t.servers[place], poison, t.random)
-	if _, refused := run.node.guard.Held(poison); refused {
+	if _, refused := run.node.guard.Refused(poison); refused {
 		t.servers[place].runs = t.servers[place].runs[:len(t.servers[place].runs)-1]
 		return 0
 	}
@@ -125,7 +125,7 @@
 		return
 	}
 	run := t.begin(server, unrelated, t.unrelatedRandom)
-	if _, refused := run.node.guard.Held(unrelated); refused {
+	if _, refused := run.node.guard.Refused(unrelated); refused {
 		t.refusedAt = append(t.refusedAt, time.Now())
 		server.runs = server.runs[:len(server.runs)-1]
 		return
@@ -135,7 +135,7 @@
 		defer t.mutex.Unlock()
 		if !server.crashed {
 			server.runs = slices.DeleteFunc(server.runs, func(other serverRun) bool { return other == run })
-			run.node.guard.Served(unrelated, run.began)
+			run.node.guard.RequestServed(unrelated, run.began)
 		}
 	})
 }
@@ -210,9 +210,9 @@
 // serveAndForget has all nodes serve a request, and then as many others as they remember.
 func (c *cluster) serveAndForget(identity Identity) {
 	for _, n := range c.nodes {
-		n.guard.Served(identity, time.Now())
+		n.guard.RequestServed(identity, time.Now())
 		for _, other := range numbered(1000, 1000+maxServed) {
-			n.guard.Served(other, time.Now())
+			n.guard.RequestServed(other, time.Now())
 		}
 	}
 	time.Sleep(time.Minute)
--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -209,14 +209,14 @@
 switch_off keys-by-age internal/claims/acceptor.go 'entry.ClaimedAt = now.Add(-entry.Age)' '' ./internal/claims
 # Requests that end servers.
 poison="./internal/poison"
-switch_off poison-refused internal/forward/forwarder.go 'if entry, held := f.poison.Held(request.Identity); held {' 'if entry, held := f.poison.Held(request.Identity); false && held {' $forward
+switch_off poison-refused internal/forward/forwarder.go 'if entry, held := f.poison.Refused(request.Identity); held {' 'if entry, held := f.poison.Refused(request.Identity); false && held {' $forward
 switch_off poison-refused-later internal/forward/admission.go 'if refusal := f.refuseNewlyQuarantined(flow); refusal != nil {' 'if refusal := f.refuseNewlyQuarantined(flow); false && refusal != nil {' $forward
-switch_off poison-no-switchover internal/forward/switchover.go 'if _, held := f.poison.Held(flow.request.Identity); held {' 'if _, held := f.poison.Held(flow.request.Identity); false && held {' $forward
+switch_off poison-no-switchover internal/forward/switchover.go 'if _, held := f.poison.Refused(flow.request.Identity); held {' 'if _, held := f.poison.Refused(flow.request.Identity); false && held {' $forward
 switch_off callers-leave-no-ends internal/forward/poison.go 'if errors.As(err, &fromCaller) {' 'if errors.As(err, &fromCaller) && false {' $forward
 switch_off unframed-is-no-proof internal/forward/poison.go 'case reply.Unframed:' 'case false:' $forward
 switch_off planned-ends internal/poison/guard.go 'return listed == nil || listed.Draining' 'return listed == nil && false' $poison
 switch_off servers-that-live internal/poison/suspects.go 'if !attempt.at.After(before) {' 'if false && attempt.at.After(before) {' $poison
-switch_off ends-by-records internal/poison/guard.go 'g.Ended(id, "its record is gone")' '' $poison
+switch_off ends-by-records internal/poison/guard.go 'g.ServerCrashed(id, "its record is gone")' '' $poison
 switch_off explained-ends internal/poison/crash.go 'if isQuarantined(identity) {
 			return true' 'if isQuarantined(identity) {
 			return false' $poison
