--- a/internal/orders/holder.go
+++ b/internal/orders/holder.go
@@ -195,15 +195,15 @@
 	demand := h.demand.poolDemand(pool, now)
 	sample := h.servers.sample(pool, demand, now)
 	input := placement.Input{
-		Now: now, Engine: engine, Servers: sample.servers, Elsewhere: sample.elsewhere, ServersElsewhere: sample.leftOut,
+		Now: now, Engine: engine, Servers: sample.servers, ReplicasElsewhere: sample.elsewhere, ServersElsewhere: sample.leftOut,
 		Demand: demand, LoadAhead: h.config.LoadAhead, StoreLoads: h.loadLimiter.available(engine.LoadsPerSecond, inProgress, now),
-		StoreNextIn: h.loadLimiter.nextIn(engine.LoadsPerSecond, inProgress),
+		NextStoreLoadIn: h.loadLimiter.nextIn(engine.LoadsPerSecond, inProgress),
 	}
 	for i := range input.Servers {
 		server := &input.Servers[i]
 		listed := h.servers.entries[server.ID].server
 		limit := h.config.Notices.Limit(listed)
-		server.Limited, server.MostPerSecond = limit.Named, limit.PerSecond
+		server.Limited, server.MaxPerSecond = limit.Named, limit.PerSecond
 		backoff := h.remainingBackoff(listed, now)
 		if wait := max(term.history.remaining(server.ID, now), backoff); wait > 0 {
 			server.Busy, server.FreeIn = true, max(server.FreeIn, wait)
--- a/internal/orders/server_table.go
+++ b/internal/orders/server_table.go
@@ -243,10 +243,10 @@
 // forPlanner returns the server as input of the planner.
 func (e *entry) forPlanner(id string, now time.Time) placement.Server {
 	server := placement.Server{
-		ID: id, Zone: e.server.Zone, Busy: e.busy, Leaving: e.server.Draining,
+		ID: id, Zone: e.server.Zone, Busy: e.busy, Draining: e.server.Draining,
 		Suspect: !e.reported || now.Before(e.suspectUntil), Models: make(map[string]placement.Replica, len(e.models)),
-		Unasked: e.unreported(),
-		Loading: e.loading, LoadingAdapter: e.loadingAdapter, InMemory: e.inMemory, OnDisk: e.onDisk,
+		RecordOnly: e.unreported(),
+		Loading:    e.loading, LoadingAdapter: e.loadingAdapter, InMemory: e.inMemory, OnDisk: e.onDisk,
 	}
 	if e.busy {
 		server.FreeIn = e.freeIn(now)
@@ -255,9 +255,9 @@
 		server.Intent = e.intent
 	}
 	if now.Before(e.unconfirmedUntil) && e.models[e.unconfirmedLoad] == nil {
-		server.Doubtful = e.unconfirmedLoad
+		server.UnconfirmedLoad = e.unconfirmedLoad
 	}
-	if server.Unasked {
+	if server.RecordOnly {
 		server.Suspect, server.Models = false, recordedReplicas(e.server)
 		return server
 	}
--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -56,7 +56,7 @@
 switch_off key-maybe-new internal/forward/tenant.go 'if f.mayBeStale() {' 'if false && f.mayBeStale() {' ./platform
 switch_off quota-asked internal/forward/tenant.go 'if within {' 'if true || within {' ./platform
 switch_off quota-given-back internal/forward/forwarder.go 'f.returnQuota(request)' '' ./platform
-switch_off tenant-before-route internal/fleet/priority.go 'ofTenant*len(r.ofRoutes)+ofRoute' 'ofRoute*len(r.ofTenants)+ofTenant' ./internal/fleet ./platform
+switch_off tenant-before-route internal/fleet/priority.go 'tenantRank*len(r.routePriorities)+routeRank' 'routeRank*len(r.tenantPriorities)+tenantRank' ./internal/fleet ./platform
 tenants=./internal/tenants
 switch_off quota-window internal/ratelimit/account.go 'if missing <= 0 && over <= 0 {' 'if missing <= 0 {' $tenants
 switch_off quota-surge internal/ratelimit/account.go 'if missing <= 0 && over <= 0 {' 'if over <= 0 {' $tenants
@@ -95,8 +95,8 @@
 switch_off limit-refusal-ends internal/forward/limit.go 'if !f.limits.Limited(server) {' 'if false {' ./internal/forward
 switch_off counters-of-most internal/orders/counters.go 'if majorityReports(earlier.Addresses, live) {' 'if true {' ./platform
 switch_off counters-lost internal/orders/counters.go '|| now.Sub(h.countersMajorityAt) >= countersTimeout' '' ./platform
-switch_off poison-vouched internal/poison/spread.go 'if served := g.crashesWithServed(crashes); len(served) > 0 {' 'if served := g.crashesWithServed(crashes); len(served) < 0 {' ./internal/poison
-switch_off poison-never-served internal/poison/ledger.go 'len(unseen) > 0 {' 'false && len(unseen) > 0 {' ./internal/poison
+switch_off poison-vouched internal/poison/propagation.go 'if served := g.crashesWithServed(crashes); len(served) > 0 {' 'if served := g.crashesWithServed(crashes); len(served) < 0 {' ./internal/poison
+switch_off poison-never-served internal/poison/crash_log.go 'len(unseen) > 0 {' 'false && len(unseen) > 0 {' ./internal/poison
 switch_off limit-quorum-wakes internal/ratelimit/ask.go 'if !l.lookAgain(now) {' 'if true {' ./platform ./internal/ratelimit
 switch_off first-loads-at-once internal/orders/load_limiter.go 'if !l.measured && loadTime > 0 {' 'if false && !l.measured && loadTime > 0 {' ./internal/orders
 # Deadlines and callers that leave.
@@ -148,7 +148,7 @@
 switch_off lapse-ends internal/mirror/grace.go 'time.AfterFunc(end.Sub(now), m.endGrace)' '' ./internal/mirror
 switch_off pause-after-failure internal/mirror/reading.go 'min(max(2*m.failurePause, minFailurePause), maxPause)' 'min(minFailurePause, maxPause)' ./internal/mirror
 switch_off latest-word internal/fleet/view.go 'before.PlacementVersion > state.PlacementVersion' 'false' ./internal/fleet
-switch_off word-of-earlier-record internal/fleet/view.go 'if placed.Created < oldest {' 'if oldest < 0 {' ./internal/fleet
+switch_off word-of-earlier-record internal/fleet/view.go 'if placement.Created < oldest {' 'if oldest < 0 {' ./internal/fleet
 # Choice and admission.
 switch_off pause-of-unreached internal/forward/choose.go 'return !now.Before(load.backoffUntil)' 'return true' $forward
 switch_off queue-wait internal/forward/tracker.go 'if ahead <= 0 {' 'if ahead <= 1<<30 {' $forward
@@ -217,27 +217,27 @@
 switch_off planned-ends internal/poison/guard.go 'return listed == nil || listed.Draining' 'return listed == nil && false' $poison
 switch_off servers-that-live internal/poison/suspects.go 'if !attempt.at.After(before) {' 'if false && attempt.at.After(before) {' $poison
 switch_off ends-by-records internal/poison/guard.go 'g.Ended(id, "its record is gone")' '' $poison
-switch_off explained-ends internal/poison/server_end.go 'if isQuarantined(identity) {
+switch_off explained-ends internal/poison/crash.go 'if isQuarantined(identity) {
 			return true' 'if isQuarantined(identity) {
 			return false' $poison
-switch_off served-since internal/poison/spread.go 'return known && began.After(since)' 'return false && known && began.After(since)' $poison
-switch_off poison-likeliest internal/poison/ambiguity.go 'cmp.Compare(l.elapsedRange(a), l.elapsedRange(b))' 'cmp.Compare(l.elapsedRange(b), l.elapsedRange(a))' $poison
-switch_off poison-provisional internal/poison/ledger.go 'if !entry.provisional() {' 'if true {' $poison
+switch_off served-since internal/poison/propagation.go 'return known && began.After(since)' 'return false && known && began.After(since)' $poison
+switch_off poison-likeliest internal/poison/attribution.go 'cmp.Compare(l.elapsedRange(a), l.elapsedRange(b))' 'cmp.Compare(l.elapsedRange(b), l.elapsedRange(a))' $poison
+switch_off poison-provisional internal/poison/crash_log.go 'if !entry.provisional() {' 'if true {' $poison
 switch_off poison-confirmed internal/poison/guard.go 'g.confirm(now)' '' $poison
 switch_off poison-rivals-served internal/poison/guard.go 'g.reportRivalServed(identity, began)' '' $poison
-switch_off poison-explained internal/poison/spread.go 'for _, identity := range explained {' 'for _, identity := range explained[:0] {' $poison
-switch_off poison-settled internal/poison/ledger.go 'crash.settled = true' '' $poison
-switch_off ends-keep-their-time internal/poison/ledger.go 'at := now.Add(-reported.Age)' 'at := now' $poison
-switch_off released-ends-unshared internal/poison/spread.go 'g.shared.clear(identity)' '' $poison
-switch_off ends-by-the-store internal/poison/spread.go 'g.shared.add(report.crashes, now)' '' $poison
-switch_off entries-saved internal/poison/spread.go 'g.entryStore.save(entry, time.Now())' '_ = entry' $poison
-switch_off entries-to-followers internal/poison/spread.go 'addresses := g.config.Followers()' 'var addresses []string' $poison
+switch_off poison-explained internal/poison/propagation.go 'for _, identity := range explained {' 'for _, identity := range explained[:0] {' $poison
+switch_off poison-settled internal/poison/crash_log.go 'crash.settled = true' '' $poison
+switch_off ends-keep-their-time internal/poison/crash_log.go 'at := now.Add(-reported.Age)' 'at := now' $poison
+switch_off released-ends-unshared internal/poison/propagation.go 'g.shared.clear(identity)' '' $poison
+switch_off ends-by-the-store internal/poison/propagation.go 'g.shared.add(report.crashes, now)' '' $poison
+switch_off entries-saved internal/poison/propagation.go 'g.entryStore.save(entry, time.Now())' '_ = entry' $poison
+switch_off entries-to-followers internal/poison/propagation.go 'addresses := g.config.Followers()' 'var addresses []string' $poison
 switch_off objections internal/poison/quarantine.go '&& !now.Before(entry.refusesFrom)' '' $poison
-switch_off past-holds internal/poison/ledger.go '(quarantinedBefore || c.all > crashThreshold)' '(c.all > crashThreshold)' $poison
+switch_off past-holds internal/poison/crash_log.go '(quarantinedBefore || c.all > crashThreshold)' '(c.all > crashThreshold)' $poison
 # What servers tell in their answers.
 switch_off word-of-leaving platform/notices.go 'Leaving: response.Header.Get(headerLeaving) == leavingTrue' 'Leaving: false' ./platform
 switch_off leaving-beside-records internal/fleet/view.go 'if len(v.leaving) == 0 || !v.leaving.has(server.Incarnation()) {' 'if true {' ./internal/fleet
-switch_off leaving-by-life internal/fleet/leaving.go 'case later(record.Born, known.born):' 'case false:' ./internal/fleet
+switch_off leaving-by-life internal/fleet/leaving.go 'case bornLater(record.Born, notice.born):' 'case false:' ./internal/fleet
 switch_off leaving-told-to-holder internal/orders/link.go 'Leaving: l.config.View.Leaving(),' '' ./platform
 switch_off backoff-of-requests internal/forward/choose.go 'if fits && backoff <= 0 {' 'if fits {' $forward
 switch_off backoff-of-orders internal/orders/backoff.go 'return max(h.config.Backoffs.BackoffUntil(server).Sub(now), 0)' 'return 0' ./platform
