--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,5 +1,5 @@
-// Package quota divides the rates of calls that a shared service allows among
-// the nodes that call it, so that all of them together stay below the rates.
+// Package quota divides the call rates that a shared service allows among the nodes that call
+// it, so that all of them together stay below the rates.
 package quota
 
 import (
@@ -18,19 +18,20 @@
 	Read Kind = iota
 	// Write calls change something.
 	Write
-	// Renewal calls keep a lease. They count as reads and never wait, since a
-	// lease that ends costs more than a call that is refused.
+	// Renewal calls renew a lease. They count as reads but never wait, since an expired
+	// lease costs more than a call that the service refuses.
 	Renewal
 )
 
 const (
-	// usedShare of the rates is used, since the nodes' numbers and windows differ.
+	// usedShare is the share of the rates that is used. The rest is a margin, since the nodes
+	// may differ in their node counts and windows.
 	usedShare = 0.8
-	// leastBurst is how many calls a node may make at once, however small its share.
-	leastBurst = 4
+	// minBurst is how many calls a node may make at once, however small its share.
+	minBurst = 4
 )
 
-// Rates that the service allows all nodes together, in calls a second; zero: any.
+// Rates that the service allows all nodes together, in calls a second; zero: unlimited.
 type Rates struct {
 	Reads, Writes float64
 }
@@ -44,14 +45,14 @@
 	nodes int
 }
 
-// NewShare returns the share of one of so many nodes.
+// NewShare returns the share of one node among the given number of nodes.
 func NewShare(rates Rates, nodes int) *Share {
 	share := &Share{rates: rates, reads: rate.NewLimiter(rate.Inf, 0), writes: rate.NewLimiter(rate.Inf, 0)}
 	share.SetNodes(nodes)
 	return share
 }
 
-// SetNodes tells how many nodes call the service.
+// SetNodes sets the number of nodes that call the service.
 func (s *Share) SetNodes(nodes int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -70,11 +71,11 @@
 	}
 	used := usedShare * perSecond
 	limiter.SetLimit(rate.Limit(used))
-	limiter.SetBurst(max(int(used), leastBurst))
+	limiter.SetBurst(max(int(used), minBurst))
 }
 
-// Wait returns when the call may be made. It returns an error at once if that
-// would be after the context's deadline, or when the context ends.
+// Wait blocks until the call may be made. It returns an error immediately if that would be
+// after the context's deadline, and an error when the context ends.
 func (s *Share) Wait(ctx context.Context, kind Kind) error {
 	switch kind {
 	case Write:
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -11,10 +11,9 @@
 	"github.com/hatchplank/hatchplank/internal/quota"
 )
 
-// callsWithin counts the calls that one node makes in the time if it makes them
-// one after the other.
-func callsWithin(share *quota.Share, kind quota.Kind, during time.Duration) int {
-	ctx, cancel := context.WithTimeout(context.Background(), during)
+// callsWithin counts the calls that one node makes sequentially within the duration.
+func callsWithin(share *quota.Share, kind quota.Kind, duration time.Duration) int {
+	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
 	calls := 0
 	for share.Wait(ctx, kind) == nil && ctx.Err() == nil {
@@ -23,7 +22,7 @@
 	return calls
 }
 
-func TestNodesTogetherStayBelowTheRates(t *testing.T) {
+func TestAllNodesTogetherStayBelowTheRates(t *testing.T) {
 	const seconds = 10
 	for _, nodes := range []int{1, 7, 100} {
 		for kind, allowed := range map[quota.Kind]float64{quota.Read: 2000, quota.Write: 400} {
@@ -37,7 +36,7 @@
 	}
 }
 
-func TestRatesThatAreNotSetDoNotBound(t *testing.T) {
+func TestUnsetRatesAreUnlimited(t *testing.T) {
 	g := NewWithT(t)
 	share := quota.NewShare(quota.Rates{}, 3)
 	for range 10000 {
@@ -67,7 +66,7 @@
 	})
 }
 
-func TestCallThatWouldComeTooLateIsGivenUpAtOnce(t *testing.T) {
+func TestCallThatMissesTheDeadlineFailsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		share := quota.NewShare(quota.Rates{Writes: 0.1}, 1)
