--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -33,7 +33,7 @@
 }
 
 # A large fleet.
-switch_off asked-in-waves internal/orders/asking.go 'for h.reports.workers < maxConcurrentReports &&' 'for h.reports.workers < 1<<20 &&' ./internal/orders
+switch_off asked-in-waves internal/orders/report_queue.go 'for h.reports.workers < maxConcurrentReports &&' 'for h.reports.workers < 1<<20 &&' ./internal/orders
 switch_off idle-connections internal/exchange/client.go 'if c.mostIdle > 0 && c.kept >= c.mostIdle {' 'if false {' ./internal/exchange
 switch_off configuration-first internal/mirror/reading.go 'if m.isLarge(own) {' 'if m.isLarge(own) && false {' ./internal/mirror
 switch_off skipped-records internal/mirror/relay.go 'if !m.largeFleet || m.revision == 0 {' 'if true {' ./internal/mirror
@@ -56,7 +56,7 @@
 switch_off key-maybe-new internal/forward/tenant.go 'if f.mayBeStale() {' 'if false && f.mayBeStale() {' ./platform
 switch_off quota-asked internal/forward/tenant.go 'if within {' 'if true || within {' ./platform
 switch_off quota-given-back internal/forward/forwarder.go 'f.returnQuota(request)' '' ./platform
-switch_off tenant-before-route internal/fleet/priority.go 'ofTenant*len(r.ofRoutes)+ofRoute' 'ofRoute*len(r.ofTenants)+ofTenant' ./internal/fleet ./platform
+switch_off tenant-before-route internal/fleet/priority.go 'tenantRank*len(r.routePriorities)+routeRank' 'routeRank*len(r.tenantPriorities)+tenantRank' ./internal/fleet ./platform
 tenants=./internal/tenants
 switch_off quota-window internal/ratelimit/meter.go 'if missing <= 0 && over <= 0 {' 'if missing <= 0 {' $tenants
 switch_off quota-surge internal/ratelimit/meter.go 'if missing <= 0 && over <= 0 {' 'if over <= 0 {' $tenants
@@ -80,12 +80,12 @@
 switch_off limit-starts-empty internal/ratelimit/meter.go 'm.level = 0' 'm.level = 3 * bucketSize(limit)' ./platform ./internal/ratelimit
 switch_off limit-alone-waits internal/ratelimit/fallback.go '(nearLimit || limit.Paced)' 'nearLimit' ./internal/ratelimit
 switch_off limit-of-earlier-build internal/ratelimit/take.go 'reply.countedNothing() && !l.isConfigured(request.Name)' 'false' ./internal/ratelimit
-switch_off limit-told-by-holder internal/orders/limits.go 'due := version != after &&' 'due := false &&' ./platform
-switch_off limit-told-without-holder internal/orders/limits.go 'if len(limits) == 0 {' 'if len(limits) >= 0 {' ./platform
+switch_off limit-told-by-holder internal/orders/limit_updates.go 'due := version != after &&' 'due := false &&' ./platform
+switch_off limit-told-without-holder internal/orders/limit_updates.go 'if len(limits) == 0 {' 'if len(limits) >= 0 {' ./platform
 switch_off limit-told-in-replies internal/orders/holder.go 'update.Limits, update.LimitsVersion =' '_, update.LimitsVersion =' ./platform
 switch_off limit-newest-word internal/notice/limits.go 'current.observedAt.After(observedAt) &&' 'false &&' ./internal/notice
 switch_off limit-ended-by-later internal/notice/limits.go 'call.SentAt.After(e.observedAt)' 'true' ./internal/notice
-switch_off limit-of-orders internal/orders/room.go 'grant := h.config.Limits.Take(ctx, server, serverlimit.Request{MaxWait: serverlimit.Window})' 'grant := serverlimit.Grant{Allowed: true}' ./platform
+switch_off limit-of-orders internal/orders/capacity.go 'grant := h.config.Limits.Take(ctx, server, serverlimit.Request{MaxWait: serverlimit.Window})' 'grant := serverlimit.Grant{Allowed: true}' ./platform
 switch_off limit-given-back internal/forward/attempt.go 'f.limits.Return(target.grant)' '_ = target.grant' ./internal/forward
 switch_off limit-after-choice internal/forward/attempt.go '|| f.newlyLimited(target)' '' ./internal/forward
 switch_off limit-refused-at-once internal/forward/admission.go 'noSlot := eligible &&' 'noSlot := false && eligible &&' ./internal/forward
@@ -95,10 +95,10 @@
 switch_off limit-refusal-ends internal/forward/limit.go 'if !f.limits.Limited(server) {' 'if false {' ./internal/forward
 switch_off counters-of-most internal/orders/counters.go 'if majorityReports(earlier.Addresses, live) {' 'if true {' ./platform
 switch_off counters-lost internal/orders/counters.go '|| now.Sub(h.countersMajorityAt) >= countersTimeout' '' ./platform
-switch_off poison-vouched internal/poison/spread.go 'if served := g.crashesWithServed(crashes); len(served) > 0 {' 'if served := g.crashesWithServed(crashes); len(served) < 0 {' ./internal/poison
-switch_off poison-never-served internal/poison/ledger.go 'len(unseen) > 0 {' 'false && len(unseen) > 0 {' ./internal/poison
+switch_off poison-vouched internal/poison/propagation.go 'if served := g.crashesWithServed(crashes); len(served) > 0 {' 'if served := g.crashesWithServed(crashes); len(served) < 0 {' ./internal/poison
+switch_off poison-never-served internal/poison/crash_log.go 'len(unseen) > 0 {' 'false && len(unseen) > 0 {' ./internal/poison
 switch_off limit-quorum-wakes internal/ratelimit/take.go 'if !l.probeForQuorum(now) {' 'if true {' ./platform ./internal/ratelimit
-switch_off first-loads-at-once internal/orders/ceiling.go 'if !l.measured && loadTime > 0 {' 'if false && !l.measured && loadTime > 0 {' ./internal/orders
+switch_off first-loads-at-once internal/orders/load_limiter.go 'if !l.measured && loadTime > 0 {' 'if false && !l.measured && loadTime > 0 {' ./internal/orders
 # Deadlines and callers that leave.
 switch_off route-timeout internal/forward/forwarder.go 'deadline := request.Accepted.Add(route.Timeout)' 'deadline := request.Accepted.Add(10 * route.Timeout)' $forward
 switch_off caller-deadline internal/forward/forwarder.go 'if request.Deadline.Before(deadline) {' 'if false {' $forward
@@ -148,7 +148,7 @@
 switch_off lapse-ends internal/mirror/grace.go 'time.AfterFunc(end.Sub(now), m.endGrace)' '' ./internal/mirror
 switch_off pause-after-failure internal/mirror/reading.go 'min(max(2*m.failurePause, minFailurePause), maxPause)' 'min(minFailurePause, maxPause)' ./internal/mirror
 switch_off latest-word internal/fleet/view.go 'before.PlacementVersion > state.PlacementVersion' 'false' ./internal/fleet
-switch_off word-of-earlier-record internal/fleet/view.go 'if placed.Created < oldest {' 'if oldest < 0 {' ./internal/fleet
+switch_off word-of-earlier-record internal/fleet/view.go 'if placement.Created < oldest {' 'if oldest < 0 {' ./internal/fleet
 # Choice and admission.
 switch_off pause-of-unreached internal/forward/choose.go 'return !now.Before(load.backoffUntil)' 'return true' $forward
 switch_off queue-wait internal/forward/tracker.go 'if ahead <= 0 {' 'if ahead <= 1<<30 {' $forward
@@ -176,14 +176,14 @@
 switch_off expected-count platform/orders.go 'Expect: order.ExpectSequence' 'Expect: 0' ./platform
 switch_off instance-of-order platform/orders.go '[][2]string{{headerExpectInstance, order.Server.ID}}' 'nil' ./platform
 switch_off no-work-before-unload internal/orders/holder.go 'delete(target.models, action.Model)' '' ./internal/orders ./platform
-switch_off late-order-noticed internal/orders/ledger.go 'if !e.server.SeenAt.After(e.reportedAt.Add(recordLag)) {' 'if true {' ./internal/orders
-switch_off store-ceiling internal/orders/ceiling.go 'return max(min(int(l.tokens), l.maxConcurrent-inProgress.count), 0)' 'return 100' ./internal/orders
+switch_off late-order-noticed internal/orders/server_table.go 'if !e.server.SeenAt.After(e.reportedAt.Add(recordLag)) {' 'if true {' ./internal/orders
+switch_off store-ceiling internal/orders/load_limiter.go 'return max(min(int(l.tokens), l.maxConcurrent-inProgress.count), 0)' 'return 100' ./internal/orders
 switch_off busy-server internal/placement/plan.go 'return !server.Busy && ' 'return ' ./internal/placement
 switch_off wait-for-server internal/placement/plan.go 'return w.cold || !server.Busy' 'return !server.Busy' ./internal/placement
 switch_off wait-for-idle internal/placement/victims.go 'if may && (w.cold || found.wait == 0)' 'if may && found.wait == 0' ./internal/placement
-switch_off overdue-orders internal/orders/ledger.go 'return e.busyUntil.Sub(now).Abs()' 'return max(e.busyUntil.Sub(now), 0)' ./internal/orders
-switch_off loads-at-once internal/orders/ceiling.go 'l.maxConcurrent = max(min(' 'l.maxConcurrent = max(l.maxConcurrent, min(' ./internal/orders
-switch_off told-again internal/orders/ledger.go 'found.server.Created != server.Created' 'false' ./internal/orders
+switch_off overdue-orders internal/orders/server_table.go 'return e.busyUntil.Sub(now).Abs()' 'return max(e.busyUntil.Sub(now), 0)' ./internal/orders
+switch_off loads-at-once internal/orders/load_limiter.go 'l.maxConcurrent = max(min(' 'l.maxConcurrent = max(l.maxConcurrent, min(' ./internal/orders
+switch_off told-again internal/orders/server_table.go 'found.server.Created != server.Created' 'false' ./internal/orders
 switch_off doubtful-loads internal/placement/plan.go 'have += p.doubtful[name]' '' ./internal/placement ./platform
 switch_off doubt-is-noted internal/orders/execute.go 'target.unconfirmedLoad, target.unconfirmedUntil = action.Model, time.Now().Add(unconfirmedLoadTime)' '' ./platform
 switch_off few-campaigns internal/orders/election.go 'if _, vacancy = e.vacancy(); vacancy == nil {' 'if false {' ./platform
@@ -195,9 +195,9 @@
 	p.loadModels()' '	p.loadModels()
 	p.loadAdapters()' ./internal/placement
 switch_off wanted-adapters-stay internal/placement/adapters.go 'wanted && p.adapterHolders(model, adapter) == 1' 'wanted && p.adapterHolders(model, adapter) == 0' ./internal/placement
-switch_off turn-at-each-server internal/orders/turns.go 'last, known := h.inherited[server]' 'last, known := h.inherited[server+"?"]' ./internal/orders ./platform
-switch_off recent-orders-complete internal/orders/turns.go 'return ages, !now.Before(h.completeFrom)' 'return ages, true' ./internal/orders ./platform
-switch_off successor-without-burst internal/orders/ceiling.go 'l.tokens = 0' 'l.tokens = burst' ./internal/orders
+switch_off turn-at-each-server internal/orders/order_history.go 'last, known := h.inherited[server]' 'last, known := h.inherited[server+"?"]' ./internal/orders ./platform
+switch_off recent-orders-complete internal/orders/order_history.go 'return ages, !now.Before(h.completeFrom)' 'return ages, true' ./internal/orders ./platform
+switch_off successor-without-burst internal/orders/load_limiter.go 'l.tokens = 0' 'l.tokens = burst' ./internal/orders
 # Planned stops and claims.
 switch_off stop-acceptor-ahead internal/claims/claimset.go 'known && current.has(self) || s.acceptorAhead(shard)' 'known && current.has(self)' ./internal/claims
 switch_off stop-active-epoch internal/claims/acceptor.go 'if a.active.Epoch > known {' 'if false {' ./internal/claims
@@ -217,27 +217,27 @@
 switch_off planned-ends internal/poison/guard.go 'return listed == nil || listed.Draining' 'return listed == nil && false' $poison
 switch_off servers-that-live internal/poison/suspects.go 'if !attempt.at.After(before) {' 'if false && attempt.at.After(before) {' $poison
 switch_off ends-by-records internal/poison/guard.go 'g.Ended(id, "its record is gone")' '' $poison
-switch_off explained-ends internal/poison/server_end.go 'if isQuarantined(identity) {
+switch_off explained-ends internal/poison/crash.go 'if isQuarantined(identity) {
 			return true' 'if isQuarantined(identity) {
 			return false' $poison
-switch_off served-since internal/poison/spread.go 'return known && began.After(since)' 'return false && known && began.After(since)' $poison
-switch_off poison-likeliest internal/poison/ambiguity.go 'cmp.Compare(l.elapsedRange(a), l.elapsedRange(b))' 'cmp.Compare(l.elapsedRange(b), l.elapsedRange(a))' $poison
-switch_off poison-provisional internal/poison/ledger.go 'if !entry.provisional() {' 'if true {' $poison
+switch_off served-since internal/poison/propagation.go 'return known && began.After(since)' 'return false && known && began.After(since)' $poison
+switch_off poison-likeliest internal/poison/attribution.go 'cmp.Compare(l.elapsedRange(a), l.elapsedRange(b))' 'cmp.Compare(l.elapsedRange(b), l.elapsedRange(a))' $poison
+switch_off poison-provisional internal/poison/crash_log.go 'if !entry.provisional() {' 'if true {' $poison
 switch_off poison-confirmed internal/poison/guard.go 'g.confirm(now)' '' $poison
 switch_off poison-rivals-served internal/poison/guard.go 'g.reportRivalServed(identity, began)' '' $poison
-switch_off poison-explained internal/poison/spread.go 'for _, identity := range explained {' 'for _, identity := range explained[:0] {' $poison
-switch_off poison-settled internal/poison/ledger.go 'crash.settled = true' '' $poison
-switch_off ends-keep-their-time internal/poison/ledger.go 'at := now.Add(-reported.Age)' 'at := now' $poison
-switch_off released-ends-unshared internal/poison/spread.go 'g.shared.clear(identity)' '' $poison
-switch_off ends-by-the-store internal/poison/spread.go 'g.shared.add(report.crashes, now)' '' $poison
-switch_off entries-saved internal/poison/spread.go 'g.entryStore.save(entry, time.Now())' '_ = entry' $poison
-switch_off entries-to-followers internal/poison/spread.go 'addresses := g.config.Followers()' 'var addresses []string' $poison
+switch_off poison-explained internal/poison/propagation.go 'for _, identity := range explained {' 'for _, identity := range explained[:0] {' $poison
+switch_off poison-settled internal/poison/crash_log.go 'crash.settled = true' '' $poison
+switch_off ends-keep-their-time internal/poison/crash_log.go 'at := now.Add(-reported.Age)' 'at := now' $poison
+switch_off released-ends-unshared internal/poison/propagation.go 'g.shared.clear(identity)' '' $poison
+switch_off ends-by-the-store internal/poison/propagation.go 'g.shared.add(report.crashes, now)' '' $poison
+switch_off entries-saved internal/poison/propagation.go 'g.entryStore.save(entry, time.Now())' '_ = entry' $poison
+switch_off entries-to-followers internal/poison/propagation.go 'addresses := g.config.Followers()' 'var addresses []string' $poison
 switch_off objections internal/poison/quarantine.go '&& !now.Before(entry.refusesFrom)' '' $poison
-switch_off past-holds internal/poison/ledger.go '(quarantinedBefore || c.all > crashThreshold)' '(c.all > crashThreshold)' $poison
+switch_off past-holds internal/poison/crash_log.go '(quarantinedBefore || c.all > crashThreshold)' '(c.all > crashThreshold)' $poison
 # What servers tell in their answers.
 switch_off word-of-leaving platform/notices.go 'Leaving: response.Header.Get(headerLeaving) == leavingTrue' 'Leaving: false' ./platform
 switch_off leaving-beside-records internal/fleet/view.go 'if len(v.leaving) == 0 || !v.leaving.has(server.Incarnation()) {' 'if true {' ./internal/fleet
-switch_off leaving-by-life internal/fleet/leaving.go 'case later(record.Born, known.born):' 'case false:' ./internal/fleet
+switch_off leaving-by-life internal/fleet/leaving.go 'case bornLater(record.Born, notice.born):' 'case false:' ./internal/fleet
 switch_off leaving-told-to-holder internal/orders/link.go 'Leaving: l.config.View.Leaving(),' '' ./platform
 switch_off backoff-of-requests internal/forward/choose.go 'if fits && backoff <= 0 {' 'if fits {' $forward
 switch_off backoff-of-orders internal/orders/backoff.go 'return max(h.config.Backoffs.BackoffUntil(server).Sub(now), 0)' 'return 0' ./platform
@@ -263,7 +263,7 @@
 switch_off renewals-unconfirmed internal/orders/renewal.go 'err == nil && !e.restoredSince(term)' 'err == nil' $restores
 switch_off last-holder-lost internal/orders/restore.go "return era > 0 && (last == nil" "return era > 0 && last != nil && last.Name == \"\" && (last == nil" $restores
 switch_off entries-outlast-restores internal/poison/guard.go 'g.entryStore.restored(keyValues)' 'g.entryStore.replace(keyValues)' ./internal/poison -run Restore
-switch_off counters-saved-again internal/orders/counters_record.go 'r.revision, r.saved = 0, ratelimit.Counters{}' '' ./platform
+switch_off counters-saved-again internal/orders/counters_store.go 's.revision, s.saved = 0, ratelimit.Counters{}' '' ./platform
 switch_off rollback-noticed internal/outside/etcd/rollback.go 'if revision >= floor {' 'if true {' ./internal/outside/etcd
 # Life of a process.
 switch_off not-ready-when-stopping internal/edge/process.go 'if p.Stopping() {' 'if false {' ./internal/edge
