--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -31,7 +31,7 @@
 	c.Transport.Call(address, message, timeout, done)
 }
 
-// fleet has nodes with limiters. inUse is whether anything is limited.
+// fleet is the nodes of a test. inUse is whether anything is limited.
 type fleet struct {
 	*peers.Network
 	transports []*countingTransport
@@ -39,7 +39,7 @@
 	inUse      bool
 }
 
-// withFleet runs the body with nodes that have the counter nodes.
+// withFleet runs the body with nodes at which the counter nodes are set.
 func withFleet(t *testing.T, nodes int, body func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
--- a/internal/tenants/directory.go
+++ b/internal/tenants/directory.go
@@ -29,7 +29,7 @@
 	DefaultTokens int
 }
 
-// Cost returns the cost of a request with the number of tokens, or 0 if it states none.
+// Cost returns the cost of a request in the limit's unit. tokens is 0 if the request states none.
 func (l Limit) Cost(tokens int) float64 {
 	switch {
 	case !l.InTokens:
