--- a/internal/applier/applier_test.go
+++ b/internal/applier/applier_test.go
@@ -21,72 +21,72 @@
 }
 
 var _ = Describe("Owner", func() {
-	It("loads what requests wait for and tells the gateway", func() {
+	It("loads a model that requests wait for and sends its endpoints to the gateway", func() {
 		c := newCluster(1, 2, []table.Row{row("a", 1, 20*gigabyte), row("b", 2, 20*gigabyte)}, nil)
 		c.startServing("a", 1)
 		Expect(c.ready("a")).To(HaveLen(1))
 		Expect(c.ready("b")).To(BeEmpty())
-		Expect(c.gateway.known["a"].Endpoints).To(HaveLen(1))
-		Expect(c.gateway.known["a"].Endpoints[0].Draining).To(BeFalse())
+		Expect(c.gateway.endpoints["a"].Endpoints).To(HaveLen(1))
+		Expect(c.gateway.endpoints["a"].Endpoints[0].Draining).To(BeFalse())
 		Expect(c.audit.violations).To(BeEmpty())
 	})
 
-	It("does not repeat endpoints that a gateway has, but tells their changes and, now and then, their load", func() {
+	It("omits endpoints that a gateway has cached, but sends their changes and, periodically, their load", func() {
 		c := newCluster(1, 2, []table.Row{row("a", 1, 20*gigabyte)}, nil)
-		c.gateway.digests = true
+		c.gateway.reportsDigests = true
 		c.startServing("a", 1)
-		Expect(c.gateway.known["a"].Endpoints).To(HaveLen(1))
-		c.gateway.rows = 0
+		Expect(c.gateway.endpoints["a"].Endpoints).To(HaveLen(1))
+		c.gateway.rowsReceived = 0
 		c.loop.RunFor(20 * time.Second)
-		// 40 reports, and load figures every five seconds.
-		Expect(c.gateway.rows).To(And(BeNumerically(">=", 3), BeNumerically("<=", 5)))
-		known := c.gateway.known["a"]
-		known.Digest++
-		c.gateway.known["a"] = known
-		c.gateway.rows = 0
+		// 40 reports within 20 s, of which those every LoadRefresh (5 s) are answered with endpoints.
+		Expect(c.gateway.rowsReceived).To(And(BeNumerically(">=", 3), BeNumerically("<=", 5)))
+		cachedRow := c.gateway.endpoints["a"]
+		cachedRow.Digest++
+		c.gateway.endpoints["a"] = cachedRow
+		c.gateway.rowsReceived = 0
 		c.loop.RunFor(600 * time.Millisecond)
-		Expect(c.gateway.rows).To(BeNumerically(">=", 1), "another digest means other endpoints")
+		Expect(c.gateway.rowsReceived).To(BeNumerically(">=", 1), "endpoints are sent if the reported digest differs")
 	})
 
 	It("loads a base model together with its adapter", func() {
-		c := newCluster(1, 1, []table.Row{row("a", 1, 20*gigabyte), adapterOn("style", "a", 1)}, nil)
+		c := newCluster(1, 1, []table.Row{row("a", 1, 20*gigabyte), adapterRow("style", "a", 1)}, nil)
 		c.startServing("style", 1)
-		Expect(c.gateway.known["a"].Endpoints).To(HaveLen(1))
-		Expect(c.gateway.known["a"].Endpoints[0].Adapters).To(Equal([]string{"style"}))
+		Expect(c.gateway.endpoints["a"].Endpoints).To(HaveLen(1))
+		Expect(c.gateway.endpoints["a"].Endpoints[0].Adapters).To(Equal([]string{"style"}))
 	})
 
-	It("makes room for a waiting row by unloading an idle one", func() {
+	It("frees capacity for a waiting row by unloading an idle one", func() {
 		c := newCluster(1, 1, []table.Row{row("a", 1, 30*gigabyte), row("b", 1, 30*gigabyte)}, nil)
 		c.acquire(0)
 		c.loop.RunFor(time.Second)
-		c.gateway.want("a", 1)
+		c.gateway.setWaiting("a", 1)
 		c.loop.RunFor(60 * time.Second)
 		Expect(c.ready("a")).To(HaveLen(1))
-		c.gateway.want("a", 0)
+		c.gateway.setWaiting("a", 0)
 		c.loop.RunFor(6 * time.Second)
-		c.gateway.want("b", 1)
+		c.gateway.setWaiting("b", 1)
 		c.loop.RunFor(60 * time.Second)
 		Expect(c.ready("a")).To(BeEmpty())
 		Expect(c.ready("b")).To(HaveLen(1))
 		Expect(c.audit.violations).To(BeEmpty())
 	})
 
-	It("replaces a replica on a leaving server and drains the old one at once", func() {
+	It("replaces a replica on a leaving server and immediately drains the old one", func() {
 		c := newCluster(1, 2, []table.Row{row("a", 2, 20*gigabyte)}, nil)
 		c.startServing("a", 1)
 		old := c.ready("a")[0]
-		c.leave(old)
+		c.markLeaving(old)
 		c.loop.RunFor(300 * time.Millisecond)
-		Expect(c.gateway.known["a"].Endpoints[0].Draining).To(BeTrue())
+		Expect(c.gateway.endpoints["a"].Endpoints[0].Draining).To(BeTrue())
 		c.loop.RunFor(30 * time.Second)
 		Expect(c.ready("a")).To(HaveLen(1))
 		Expect(c.ready("a")[0]).NotTo(Equal(old))
 		Expect(c.audit.violations).To(BeEmpty())
 	})
 
-	It("keeps a replica whose requests run until these have ended", func() {
-		c, sink := unloadUnderRequest(nil)
-		Expect(sink.ended+sink.failed).To(BeZero(), "the request has to outlast the drain delay")
+	It("does not unload a replica before its running requests have ended", func() {
+		c, sink := unloadDuringRequest(nil)
+		Expect(sink.ended+sink.failed).To(BeZero(), "the request must outlast the drain delay")
 		Expect(c.ready("a")).To(HaveLen(1))
 		c.loop.RunFor(3 * time.Minute)
 		Expect(sink.ended).To(Equal(1))
@@ -94,30 +94,30 @@
 		Expect(c.audit.violations).To(BeEmpty())
 	})
 
-	It("waits soon after a takeover for gateways that only the owner before knew", func() {
+	It("soon after a takeover, waits the full drain delay for gateways that have not reported yet", func() {
 		c := newCluster(1, 1, []table.Row{row("a", 1, 20*gigabyte)}, nil)
 		c.startServing("a", 1)
 		c.nodes[0].manager.Lost(cellName)
 		c.acquire(1)
 		c.loop.RunFor(3 * time.Second)
-		c.leave("lm-0")
-		// The one gateway that reported acknowledges the drain at once.
+		c.markLeaving("lm-0")
+		// The only gateway that has reported acknowledges the drain immediately.
 		c.loop.RunFor(4 * time.Second)
-		Expect(c.gateway.known["a"].Endpoints[0].Draining).To(BeTrue())
+		Expect(c.gateway.endpoints["a"].Endpoints[0].Draining).To(BeTrue())
 		Expect(c.ready("a")).To(HaveLen(1))
 		c.loop.RunFor(4 * time.Second)
 		Expect(c.ready("a")).To(BeEmpty())
 	})
 
-	It("is in no hurry to unload an idle replica soon after a takeover", func() {
+	It("soon after a takeover, waits longer than the drain delay before it unloads an idle replica", func() {
 		c := newCluster(1, 1, []table.Row{row("a", 1, 20*gigabyte)}, nil)
 		c.acquire(0)
-		c.gateway.want("a", 1)
+		c.gateway.setWaiting("a", 1)
 		c.loop.RunFor(30 * time.Second)
-		c.gateway.want("a", 0)
+		c.gateway.setWaiting("a", 0)
 		c.acquire(1)
 		c.loop.RunFor(time.Second)
-		c.edit(func(rows []table.Row) []table.Row {
+		c.editTable(func(rows []table.Row) []table.Row {
 			rows[0].MaxReplicas = 0
 			return rows
 		})
@@ -127,67 +127,67 @@
 		Expect(c.ready("a")).To(BeEmpty())
 	})
 
-	It("tells gateways that were silent since before the takeover of a drain", func() {
+	It("sends a drain to gateways that have not reported since before the takeover", func() {
 		c := newCluster(1, 1, []table.Row{withMin(row("a", 1, 20*gigabyte))}, nil)
 		c.acquire(0)
-		c.gateway.want("a", 1)
+		c.gateway.setWaiting("a", 1)
 		c.loop.RunFor(30 * time.Second)
-		c.gateway.want("a", 0)
+		c.gateway.setWaiting("a", 0)
 		c.nodes[0].manager.Lost(cellName)
 		c.acquire(1)
 		c.loop.RunFor(2 * time.Minute)
-		c.leave("lm-0")
+		c.markLeaving("lm-0")
 		c.loop.RunFor(500 * time.Millisecond)
 		Expect(c.ready("a")).To(HaveLen(1))
-		Expect(c.gateway.known["a"].Endpoints[0].Draining).To(BeTrue())
+		Expect(c.gateway.endpoints["a"].Endpoints[0].Draining).To(BeTrue())
 		c.loop.RunFor(2 * time.Second)
-		Expect(c.ready("a")).To(BeEmpty(), "its acknowledgement ends the wait")
+		Expect(c.ready("a")).To(BeEmpty(), "the gateway's acknowledgement ends the wait")
 	})
 
-	It("does not unload what a live gateway it can't reach may still call", func() {
+	It("does not unload a replica that a live but unreachable gateway may still send requests to", func() {
 		c := newCluster(1, 1, []table.Row{row("a", 1, 20*gigabyte)}, nil)
 		c.acquire(0)
-		c.gateway.want("a", 1)
+		c.gateway.setWaiting("a", 1)
 		c.loop.RunFor(time.Minute)
-		c.gateway.want("a", 0)
-		c.cut["node-0>gateway"] = true
-		c.edit(func(rows []table.Row) []table.Row {
+		c.gateway.setWaiting("a", 0)
+		c.blocked["node-0>gateway"] = true
+		c.editTable(func(rows []table.Row) []table.Row {
 			rows[0].MaxReplicas = 0
 			return rows
 		})
 		c.loop.RunFor(30 * time.Second)
 		Expect(c.ready("a")).To(HaveLen(1))
-		c.cut["node-0>gateway"] = false
+		c.blocked["node-0>gateway"] = false
 		c.loop.RunFor(5 * time.Second)
-		Expect(c.ready("a")).To(HaveLen(1), "a late request may still be under way")
+		Expect(c.ready("a")).To(HaveLen(1), "a delayed request may still be in transit")
 		c.loop.RunFor(5 * time.Second)
 		Expect(c.ready("a")).To(BeEmpty())
 	})
 
-	DescribeTable("leaves late requests time before an unload on a leaving machine",
+	DescribeTable("waits for delayed requests before an unload on a leaving machine",
 		func(left time.Duration, readyAfter int) {
 			c := newCluster(1, 1, []table.Row{row("a", 1, 20*gigabyte)}, nil)
 			c.acquire(0)
-			c.gateway.want("a", 1)
+			c.gateway.setWaiting("a", 1)
 			c.loop.RunFor(time.Minute)
-			c.gateway.want("a", 0)
+			c.gateway.setWaiting("a", 0)
 			c.machines[0].LeavesAt = c.loop.Now().Add(left)
-			c.leave("lm-0")
+			c.markLeaving("lm-0")
 			c.loop.RunFor(4 * time.Second)
 			Expect(c.ready("a")).To(HaveLen(readyAfter))
 			c.loop.RunFor(6 * time.Second)
 			Expect(c.ready("a")).To(BeEmpty())
 		},
-		Entry("that stays for two minutes", 2*time.Minute, 1),
-		Entry("unless it leaves soon", 20*time.Second, 0),
+		Entry("that leaves in two minutes", 2*time.Minute, 1),
+		Entry("except one that leaves soon", 20*time.Second, 0),
 	)
 
-	It("plans after a pause only when the table could come up to date", func() {
+	It("defers plans after a pause until the table had time to be updated", func() {
 		c := newCluster(1, 1, []table.Row{row("a", 1, 20*gigabyte)}, nil)
 		c.acquire(0)
 		c.loop.RunFor(time.Second)
 		c.nodes[0].process.Pause()
-		c.gateway.want("a", 1)
+		c.gateway.setWaiting("a", 1)
 		c.loop.RunFor(10 * time.Second)
 		c.nodes[0].process.Resume()
 		c.loop.RunFor(1500 * time.Millisecond)
@@ -196,16 +196,16 @@
 		Expect(c.ready("a")).To(HaveLen(1))
 	})
 
-	It("cuts off requests without draining", func() {
-		c, _ := unloadUnderRequest(func(c *applier.Config) { c.Mechanisms.DrainBeforeUnload = false })
+	It("cuts off running requests if DrainBeforeUnload is off", func() {
+		c, _ := unloadDuringRequest(func(c *applier.Config) { c.Mechanisms.DrainBeforeUnload = false })
 		Expect(c.audit.violations).NotTo(BeEmpty())
 	})
 
-	It("replaces a version one by one and then goes down to a lowered maximum", func() {
+	It("replaces the replicas of an old version one by one, and unloads replicas when the maximum is lowered", func() {
 		c := newCluster(1, 3, []table.Row{row("a", 3, 20*gigabyte)}, nil)
 		c.startServing("a", 8)
 		Expect(c.ready("a")).To(HaveLen(2))
-		c.edit(func(rows []table.Row) []table.Row {
+		c.editTable(func(rows []table.Row) []table.Row {
 			rows[0].Version = "2"
 			return rows
 		})
@@ -213,10 +213,10 @@
 			c.loop.RunFor(time.Second)
 			Expect(c.ready("a")).NotTo(BeEmpty())
 		}
-		for _, endpoint := range c.gateway.known["a"].Endpoints {
+		for _, endpoint := range c.gateway.endpoints["a"].Endpoints {
 			Expect(endpoint.Version).To(Equal("2"))
 		}
-		c.edit(func(rows []table.Row) []table.Row {
+		c.editTable(func(rows []table.Row) []table.Row {
 			rows[0].MaxReplicas = 1
 			return rows
 		})
@@ -225,7 +225,7 @@
 		Expect(c.audit.violations).To(BeEmpty())
 	})
 
-	It("takes over what the owner before had loaded", func() {
+	It("adopts the replicas that the previous owner loaded", func() {
 		c := newCluster(1, 2, []table.Row{row("a", 1, 20*gigabyte)}, nil)
 		c.startServing("a", 1)
 		before := c.ready("a")
@@ -239,11 +239,11 @@
 		Expect(c.ready("a")).To(Equal(before))
 		Expect(c.nodes[0].manager.Status()).To(BeEmpty())
 		status := c.nodes[1].manager.Status()[0]
-		Expect(status.Unheard).To(BeZero())
-		Expect(c.gateway.known["a"].Endpoints).To(HaveLen(1))
+		Expect(status.UnknownServers).To(BeZero())
+		Expect(c.gateway.endpoints["a"].Endpoints).To(HaveLen(1))
 	})
 
-	It("backs off after a failed load and tries again", func() {
+	It("backs off after a failed load and retries", func() {
 		c := newCluster(1, 1, []table.Row{row("a", 1, 20*gigabyte)}, nil)
 		c.fleet.Host("lm-0").Engine.SetFaults(engine.Faults{LoadFailure: 1})
 		c.startServing("a", 1)
@@ -255,7 +255,7 @@
 		Expect(c.ready("a")).To(HaveLen(1))
 	})
 
-	It("plans nothing before a table was read", func() {
+	It("does not plan before a table was read", func() {
 		c := newCluster(1, 1, []table.Row{row("a", 1, 20*gigabyte)}, nil)
 		c.startServing("a", 1)
 		c.nodes[0].manager.Lost(cellName)
@@ -270,8 +270,8 @@
 	})
 })
 
-// unloadUnderRequest lets a server leave on which a long request runs.
-func unloadUnderRequest(change func(*applier.Config)) (*cluster, *countingSink) {
+// unloadDuringRequest makes a server leave while it runs a long request, and returns 7 s later.
+func unloadDuringRequest(change func(*applier.Config)) (*cluster, *countingSink) {
 	c := newCluster(1, 1, []table.Row{row("a", 1, 20*gigabyte)}, change)
 	c.startServing("a", 1)
 	sink := &countingSink{}
@@ -280,8 +280,8 @@
 		Server: "lm-0", Attempt: "one", RequestID: "one", Model: "a", Path: "/v1/chat/completions", Body: body,
 		Deadline: c.loop.Now().Add(5 * time.Minute),
 	}, sink)
-	c.gateway.want("a", 0)
-	c.leave("lm-0")
+	c.gateway.setWaiting("a", 0)
+	c.markLeaving("lm-0")
 	c.loop.RunFor(7 * time.Second)
 	return c, sink
 }
@@ -294,33 +294,33 @@
 	Expect(c.audit.violations).To(BeEmpty())
 	c.loop.RunFor(2 * time.Minute)
 	Expect(c.audit.violations).To(BeEmpty())
-	Expect(c.ready("a")).To(HaveLen(1), "a is served in the end")
+	Expect(c.ready("a")).To(HaveLen(1), "a replica of a is ready in the end")
 },
 	Entry("the reply to a load is lost", func(c *cluster) {
 		for _, machine := range c.machines {
 			c.fleet.Host(machine.Server).Engine.SetFaults(engine.Faults{LoseOrderReply: 1})
 		}
-		c.gateway.want("a", 1)
+		c.gateway.setWaiting("a", 1)
 		c.loop.RunFor(10 * time.Second)
 		for _, machine := range c.machines {
 			c.fleet.Host(machine.Server).Engine.SetFaults(engine.Faults{})
 		}
 	}, nil),
-	Entry("an order is delayed past the takeover", func(c *cluster) {
+	Entry("an order arrives after the takeover", func(c *cluster) {
 		for _, machine := range c.machines {
-			c.late["node-0>"+string(machine.Server)] = 20 * time.Second
+			c.extraDelay["node-0>"+string(machine.Server)] = 20 * time.Second
 		}
-		c.gateway.want("a", 1)
+		c.gateway.setWaiting("a", 1)
 		c.loop.RunFor(time.Second)
 		c.acquire(1)
 		c.loop.RunFor(40 * time.Second)
 	}, nil),
 	Entry("a paused owner resumes after the takeover", func(c *cluster) {
-		c.gateway.want("b", 1)
+		c.gateway.setWaiting("b", 1)
 		c.loop.RunFor(50 * time.Millisecond)
 		c.nodes[0].process.Pause()
 		c.acquire(1)
-		c.gateway.want("a", 1)
+		c.gateway.setWaiting("a", 1)
 		c.loop.RunFor(5 * time.Second)
 		c.nodes[0].process.Resume()
 		c.gateway.owner = "node-0"
@@ -328,14 +328,14 @@
 		c.loop.RunFor(5 * time.Second)
 		c.gateway.owner = "node-1"
 	}, nil),
-	Entry("an engine restarts in the middle of a load", func(c *cluster) {
-		c.gateway.want("a", 1)
+	Entry("an engine restarts during a load", func(c *cluster) {
+		c.gateway.setWaiting("a", 1)
 		c.loop.RunFor(2 * time.Second)
 		for _, machine := range c.machines {
 			c.fleet.Host(machine.Server).Restart(true)
 		}
 	}, nil),
-	Entry("an engine restarts under a paused owner and its successor", func(c *cluster) {
+	Entry("an engine restarts while the previous owner is paused, after the takeover", func(c *cluster) {
 		c.nodes[0].process.Pause()
 		c.acquire(1)
 		c.loop.RunFor(time.Second)
@@ -343,41 +343,41 @@
 			c.fleet.Host(machine.Server).Restart(true)
 		}
 		c.nodes[0].process.Resume()
-		c.gateway.want("a", 1)
+		c.gateway.setWaiting("a", 1)
 		c.gateway.owner = "node-0"
-		c.gateway.want("a", 1)
+		c.gateway.setWaiting("a", 1)
 		c.loop.RunFor(5 * time.Second)
 		c.gateway.owner = "node-1"
 	}, nil),
-	Entry("an adopted server can't be reached", func(c *cluster) {
-		c.gateway.want("a", 1)
+	Entry("a server is unreachable for the new owner", func(c *cluster) {
+		c.gateway.setWaiting("a", 1)
 		c.loop.RunFor(20 * time.Second)
-		holder := string(c.ready("a")[0])
-		c.cut["node-1>"+holder] = true
+		loadedServer := string(c.ready("a")[0])
+		c.blocked["node-1>"+loadedServer] = true
 		c.acquire(1)
 		c.loop.RunFor(30 * time.Second)
-		Expect(c.nodes[1].manager.Status()[0].Unheard).To(Equal(1))
-		c.cut = map[string]bool{}
+		Expect(c.nodes[1].manager.Status()[0].UnknownServers).To(Equal(1))
+		c.blocked = map[string]bool{}
 	}, nil),
-	Entry("a machine vanishes and the list lags", func(c *cluster) {
-		c.gateway.want("a", 1)
+	Entry("a machine disappears and the machine list lags", func(c *cluster) {
+		c.gateway.setWaiting("a", 1)
 		c.loop.RunFor(20 * time.Second)
-		holder := c.ready("a")[0]
-		c.reclaim(holder)
+		loadedServer := c.ready("a")[0]
+		c.terminate(loadedServer)
 		c.loop.RunFor(20 * time.Second)
-		c.delist(holder)
+		c.removeFromListing(loadedServer)
 	}, nil),
 	Entry("epochs can't be confirmed during a key-value outage", func(c *cluster) {
-		c.keyValueDown = true
+		c.keyValueUnavailable = true
 		c.fleet.Host("lm-0").Restart(true)
-		c.gateway.want("a", 1)
+		c.gateway.setWaiting("a", 1)
 		c.loop.RunFor(time.Minute)
-		Expect(c.ready("a")).To(HaveLen(1), "servers adopted before are used")
-		c.keyValueDown = false
+		Expect(c.ready("a")).To(HaveLen(1), "servers that were adopted before the outage are used")
+		c.keyValueUnavailable = false
 	}, nil),
 )
 
-// countingSink counts how attempts end.
+// countingSink counts the attempts that ended and those that failed.
 type countingSink struct{ ended, failed int }
 
 func (s *countingSink) Chunk(outside.Chunk) {}
@@ -386,48 +386,48 @@
 
 func (s *countingSink) Failed(*outside.AttemptError) { s.failed++ }
 
-// statisticsShelf keeps one cell's statistics; its first load fails.
-type statisticsShelf struct {
-	loop  *simulation.Loop
-	loads int
-	saved [][]byte
-	kept  []byte
+// fakeStatisticsStore stores one cell's statistics. Its first load fails.
+type fakeStatisticsStore struct {
+	loop   *simulation.Loop
+	loads  int
+	saved  [][]byte
+	stored []byte
 }
 
-func (s *statisticsShelf) Load(_ string, done func([]byte, error)) {
+func (s *fakeStatisticsStore) Load(_ string, done func([]byte, error)) {
 	s.loads++
 	err := outside.ErrNotApplied
 	if s.loads > 1 {
 		err = nil
 	}
-	s.loop.AfterFunc(time.Millisecond, func() { done(s.kept, err) })
+	s.loop.AfterFunc(time.Millisecond, func() { done(s.stored, err) })
 }
 
-func (s *statisticsShelf) Save(_ string, _ uint64, data []byte, done func(error)) {
-	Expect(s.loads).To(BeNumerically(">", 1), "saved before the earlier statistics were read")
+func (s *fakeStatisticsStore) Save(_ string, _ uint64, data []byte, done func(error)) {
+	Expect(s.loads).To(BeNumerically(">", 1), "statistics saved before those of the previous owner were read")
 	s.saved = append(s.saved, data)
 	s.loop.AfterFunc(time.Millisecond, func() { done(nil) })
 }
 
-var _ = It("Statistics of the owner before are kept through an outage of their store", func() {
-	earlier := planner.NewStatistics()
-	earlier.Observe(simulation.Epoch.Add(-time.Hour), "b", "group-a", 1)
-	data, err := earlier.Encode()
+var _ = It("Statistics of the previous owner survive an outage of their store", func() {
+	previous := planner.NewStatistics()
+	previous.Observe(simulation.Epoch.Add(-time.Hour), "b", "group-a", 1)
+	data, err := previous.Encode()
 	Expect(err).NotTo(HaveOccurred())
-	shelf := &statisticsShelf{kept: data}
-	c := newCluster(1, 1, []table.Row{row("a", 1, 20*gigabyte)}, func(config *applier.Config) { config.Statistics = shelf })
-	shelf.loop = c.loop
+	statisticsStore := &fakeStatisticsStore{stored: data}
+	c := newCluster(1, 1, []table.Row{row("a", 1, 20*gigabyte)}, func(config *applier.Config) { config.Statistics = statisticsStore })
+	statisticsStore.loop = c.loop
 	c.acquire(0)
-	c.gateway.want("a", 1)
+	c.gateway.setWaiting("a", 1)
 	c.loop.RunFor(3 * time.Minute)
-	c.gateway.want("a", 0)
+	c.gateway.setWaiting("a", 0)
 	c.loop.RunFor(3 * time.Minute)
-	saves := len(shelf.saved)
+	saves := len(statisticsStore.saved)
 	Expect(saves).To(BeNumerically(">", 1))
-	after, err := planner.DecodeStatistics(shelf.saved[saves-1])
+	after, err := planner.DecodeStatistics(statisticsStore.saved[saves-1])
 	Expect(err).NotTo(HaveOccurred())
 	Expect(after.Row("a")).NotTo(BeNil())
-	Expect(after.Row("b")).To(Equal(earlier.Row("b")))
+	Expect(after.Row("b")).To(Equal(previous.Row("b")))
 	c.loop.RunFor(10 * time.Minute)
-	Expect(shelf.saved).To(HaveLen(saves), "nothing new was learned")
+	Expect(statisticsStore.saved).To(HaveLen(saves), "statistics without new observations must not be saved")
 })
--- a/internal/applier/audit_test.go
+++ b/internal/applier/audit_test.go
@@ -7,7 +7,8 @@
 	"github.com/hatchplank/hatchplank/internal/standin/record"
 )
 
-// audit checks the limits from the engines' record.
+// audit checks the limits on replicas and memory, and that no unload cuts off a request, from the
+// events that the engines record.
 type audit struct {
 	cluster    *cluster
 	holders    map[string]map[outside.ServerID]bool
--- a/internal/applier/cluster_test.go
+++ b/internal/applier/cluster_test.go
@@ -23,7 +23,8 @@
 	cellName = "glossa"
 )
 
-// cluster is one cell of simulated engines with nodes that may own it.
+// cluster simulates one cell: its engines, a gateway, and the nodes that may own it. It implements
+// table.View.
 type cluster struct {
 	loop    *simulation.Loop
 	network *simulation.Network
@@ -39,15 +40,15 @@
 	rows     []table.Row
 	revision table.Revision
 	epoch    uint64
-	// keyValueDown keeps epochs from being confirmed.
-	keyValueDown bool
-	// cut ways of the network, by "from>to".
-	cut map[string]bool
-	// late is a delay added to one way, by "from>to".
-	late map[string]time.Duration
+	// keyValueUnavailable: the key-value service is unavailable, so epochs can't be confirmed.
+	keyValueUnavailable bool
+	// blocked are the network's directions in which messages are dropped, by "from>to".
+	blocked map[string]bool
+	// extraDelay is added to the delay in one direction, by "from>to".
+	extraDelay map[string]time.Duration
 }
 
-// node is one hatchplank node with its manager.
+// node is one hatchplank node with its manager. It implements applier.Confirmer and membership.View.
 type node struct {
 	cluster *cluster
 	process *simulation.Process
@@ -57,12 +58,12 @@
 func newCluster(seed uint64, servers int, rows []table.Row, change func(*applier.Config)) *cluster {
 	c := &cluster{
 		loop: simulation.NewLoop(seed), log: record.NewLog(), rows: rows, revision: 1,
-		cut: map[string]bool{}, late: map[string]time.Duration{},
+		blocked: map[string]bool{}, extraDelay: map[string]time.Duration{},
 	}
 	c.network = simulation.NewNetwork(c.loop)
-	c.network.Cut = func(from, to string) bool { return c.cut[from+">"+to] }
+	c.network.Cut = func(from, to string) bool { return c.blocked[from+">"+to] }
 	c.network.ConditionsOf = func(from, to string) simulation.Conditions {
-		return simulation.Conditions{Delay: simulation.DefaultDelay + c.late[from+">"+to]}
+		return simulation.Conditions{Delay: simulation.DefaultDelay + c.extraDelay[from+">"+to]}
 	}
 	c.peers = simulation.NewPeerNetwork(c.network)
 	c.fleet = engine.NewFleet(c.loop, c.network)
@@ -83,46 +84,46 @@
 	c.machines = append(c.machines, outside.Machine{
 		Server: id, Pool: cellName, Zone: "marousi", Phase: outside.MachineLive, Engine: true,
 	})
-	c.relist()
+	c.publishListing()
 }
 
-// relist makes the machine list show the machines as they are.
-func (c *cluster) relist() {
+// publishListing updates the machine list from machines.
+func (c *cluster) publishListing() {
 	c.listing = outside.MachineListing{
 		Version: c.listing.Version + 1, Machines: append([]outside.Machine(nil), c.machines...),
 	}
 }
 
-// reclaim ends a machine; the list shows it until delist.
-func (c *cluster) reclaim(id outside.ServerID) { c.fleet.Host(id).Vanish() }
+// terminate ends a machine, which stays in the machine list until removeFromListing.
+func (c *cluster) terminate(id outside.ServerID) { c.fleet.Host(id).Vanish() }
 
-func (c *cluster) delist(id outside.ServerID) {
+func (c *cluster) removeFromListing(id outside.ServerID) {
 	for i := range c.machines {
 		if c.machines[i].Server == id {
 			c.machines = append(c.machines[:i:i], c.machines[i+1:]...)
 			break
 		}
 	}
-	c.relist()
+	c.publishListing()
 }
 
-func (c *cluster) leave(id outside.ServerID) {
+func (c *cluster) markLeaving(id outside.ServerID) {
 	for i := range c.machines {
 		if c.machines[i].Server == id {
 			c.machines[i].Phase = outside.MachineLeaving
 		}
 	}
-	c.relist()
+	c.publishListing()
 }
 
-func (c *cluster) edit(change func(rows []table.Row) []table.Row) {
+func (c *cluster) editTable(change func(rows []table.Row) []table.Row) {
 	c.rows = change(append([]table.Row(nil), c.rows...))
 	c.revision++
 }
 
 func (c *cluster) newNode(name string, change func(*applier.Config)) *node {
 	process := simulation.NewProcess(c.loop, name)
-	made := &node{cluster: c, process: process}
+	created := &node{cluster: c, process: process}
 	policy, err := planner.New(planner.PolicyHatchplank, planner.Parameters{ColdStartWeight: 0.5})
 	if err != nil {
 		panic(err)
@@ -131,22 +132,22 @@
 		Clock: process, Random: c.loop.Fork(), Table: c, Engines: c.fleet.Client(process),
 		Layout:   cells.Layout{Cells: []cells.Cell{{Name: cellName, Pools: []string{cellName}}}},
 		Allot:    allotAll,
-		Machines: machines{c, process}, Transport: c.peers.Transport(process), Self: made,
-		Policy: policy, Confirmer: made, Logger: zerolog.Nop(), Mechanisms: applier.AllMechanisms(),
+		Machines: machines{c, process}, Transport: c.peers.Transport(process), Self: created,
+		Policy: policy, Confirmer: created, Logger: zerolog.Nop(), Mechanisms: applier.AllMechanisms(),
 	}
 	if change != nil {
 		change(&config)
 	}
-	made.manager = applier.NewManager(config)
-	clock.Repeat(process, 100*time.Millisecond, func() { made.manager.Tick(process.Now()) })
-	return made
+	created.manager = applier.NewManager(config)
+	clock.Repeat(process, 100*time.Millisecond, func() { created.manager.Tick(process.Now()) })
+	return created
 }
 
 func allotAll(cell string, row table.Row) cells.Allotment {
 	return cells.Allotment{Cell: cell, MinReplicas: row.MinReplicas, MaxReplicas: row.MaxReplicas}
 }
 
-// acquire gives the cell to a node at a new epoch, whatever others believe.
+// acquire gives the cell to a node at a new epoch. The previous owner is not notified.
 func (c *cluster) acquire(i int) {
 	c.epoch++
 	epoch := c.epoch
@@ -154,12 +155,12 @@
 	c.gateway.owner = c.nodes[i].process.Name
 }
 
-// startServing gives the cell to the first node and lets requests for a row wait
-// for half a minute, in which its replicas get ready.
+// startServing gives the cell to the first node and keeps requests for a row waiting for 30 s, in
+// which its replicas become ready.
 func (c *cluster) startServing(row string, requests int) {
 	c.acquire(0)
 	c.loop.RunFor(time.Second)
-	c.gateway.want(row, requests)
+	c.gateway.setWaiting(row, requests)
 	c.loop.RunFor(30 * time.Second)
 }
 
@@ -184,12 +185,12 @@
 	return []membership.Member{n.cluster.gateway.member()}
 }
 
-// Confirm implements applier.Confirmer: a linearizable read takes 2 ms.
+// Confirm implements applier.Confirmer as a linearizable read that takes 2 ms.
 func (n *node) Confirm(_ string, epoch uint64, done func(bool, error)) {
 	n.cluster.loop.AfterFunc(time.Millisecond, func() {
-		current, down := epoch == n.cluster.epoch, n.cluster.keyValueDown
+		current, unavailable := epoch == n.cluster.epoch, n.cluster.keyValueUnavailable
 		n.process.AfterFunc(time.Millisecond, func() {
-			if down {
+			if unavailable {
 				done(false, outside.ErrNotApplied)
 				return
 			}
@@ -198,7 +199,7 @@
 	})
 }
 
-// machines reads the cluster's list without delay.
+// machines implements applier.Machines by reading the cluster's list without delay.
 type machines struct {
 	cluster *cluster
 	process *simulation.Process
@@ -210,7 +211,7 @@
 
 func (m machines) Subscribe(func(outside.MachineListing)) {}
 
-// ready lists the servers on which a model can be called, by the engines.
+// ready returns the servers whose engine has a ready replica of the model.
 func (c *cluster) ready(model string) []outside.ServerID {
 	var servers []outside.ServerID
 	for _, machine := range c.machines {
@@ -227,13 +228,14 @@
 	return servers
 }
 
-// adapterOn makes an adapter row on a base.
-func adapterOn(name, base string, maximum int) table.Row {
-	made := row(name, maximum, gigabyte)
-	made.Kind, made.Base = table.KindAdapter, base
-	return made
+// adapterRow returns the row of an adapter of 1 GB on a base model.
+func adapterRow(name, base string, maximum int) table.Row {
+	adapter := row(name, maximum, gigabyte)
+	adapter.Kind, adapter.Base = table.KindAdapter, base
+	return adapter
 }
 
+// row returns the row of a model that takes this much memory, in bytes.
 func row(name string, maximum int, memory int64) table.Row {
 	return table.Row{
 		Name: name, Kind: table.KindModel, Version: "1", Tenant: "group-a", Weight: 1,
@@ -241,5 +243,5 @@
 	}
 }
 
-// loadsStarted counts the loads that engines began.
+// loadsStarted returns the number of loads that engines started.
 func (c *cluster) loadsStarted() int { return int(c.log.Count(record.KindLoadStarted)) }
--- a/internal/applier/confirm.go
+++ b/internal/applier/confirm.go
@@ -10,22 +10,22 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// adoption is a server in an incarnation.
-type adoption struct {
+// adoptedServer is a server and the incarnation in which it was adopted.
+type adoptedServer struct {
 	server      *serverEntry
 	incarnation outside.Incarnation
 }
 
-// confirmLocked asks whether the epoch is still current for all servers that
-// were adopted since it was asked last.
+// confirmLocked starts a confirmation of the epoch if servers were adopted that are not confirmed
+// yet. One confirmation covers all of them. It must be called with the lock held.
 func (o *Owner) confirmLocked(now time.Time) {
 	if o.config.Confirmer == nil || o.confirming || now.Before(o.nextConfirm) {
 		return
 	}
-	var adoptions []adoption
+	var adoptions []adoptedServer
 	for _, server := range o.servers {
 		if server.adopted && !server.confirmed {
-			adoptions = append(adoptions, adoption{server, server.incarnation})
+			adoptions = append(adoptions, adoptedServer{server, server.incarnation})
 		}
 	}
 	if len(adoptions) == 0 {
@@ -35,7 +35,8 @@
 	o.config.Confirmer.Confirm(o.cell, o.epoch, func(current bool, err error) { o.confirmDone(adoptions, current, err) })
 }
 
-func (o *Owner) confirmDone(adoptions []adoption, current bool, err error) {
+// confirmDone handles the result of a confirmation.
+func (o *Owner) confirmDone(adoptions []adoptedServer, current bool, err error) {
 	o.mutex.Lock()
 	released := o.confirmDoneLocked(adoptions, current, err)
 	o.mutex.Unlock()
@@ -44,35 +45,38 @@
 	}
 }
 
-func (o *Owner) confirmDoneLocked(adoptions []adoption, current bool, err error) (released func()) {
+// confirmDoneLocked marks the servers as confirmed if the epoch is current, and otherwise stops the
+// owner. The caller must hold the lock, and call released, unless nil, without it.
+func (o *Owner) confirmDoneLocked(adoptions []adoptedServer, current bool, err error) (released func()) {
 	o.confirming = false
-	if o.ended {
+	if o.stopped {
 		return nil
 	}
 	if err != nil {
 		o.nextConfirm = o.config.Clock.Now().Add(o.backoff(o.config.Intervals.RetryMin, o.config.Intervals.RetryMax, 3))
-		o.logger.Warn().Err(err).Str("reason", "epoch_unconfirmed").Msg("adopted servers are not used yet")
+		o.logger.Warn().Err(err).Str("reason", "epoch_unconfirmed").Msg("epoch could not be confirmed; adopted servers are not used yet")
 		return nil
 	}
 	if !current {
-		return o.endLocked("superseded")
+		return o.stopLocked("superseded")
 	}
-	for _, adopted := range adoptions {
-		if adopted.server.adopted && adopted.server.incarnation == adopted.incarnation {
-			adopted.server.confirmed = true
+	for _, adoption := range adoptions {
+		if adoption.server.adopted && adoption.server.incarnation == adoption.incarnation {
+			adoption.server.confirmed = true
 		}
 	}
 	o.wakeLocked()
 	return nil
 }
 
-// keyValueConfirmer reads the cell's ownership record.
+// keyValueConfirmer implements Confirmer by reading the cell's ownership record.
 type keyValueConfirmer struct {
 	service outside.KeyValueService
 	timeout time.Duration
 }
 
-// NewKeyValueConfirmer returns a Confirmer that reads membership's records.
+// NewKeyValueConfirmer returns a Confirmer that reads the ownership records of package membership.
+// The timeout is that of one read.
 func NewKeyValueConfirmer(service outside.KeyValueService, timeout time.Duration) Confirmer {
 	return &keyValueConfirmer{service: service, timeout: timeout}
 }
@@ -82,7 +86,7 @@
 	key := membership.CellPrefix + cell
 	c.service.Range(key, c.timeout, func(result outside.RangeResult, err error) {
 		if err != nil {
-			done(false, eris.Wrap(err, "read ownership"))
+			done(false, eris.Wrap(err, "read ownership record"))
 			return
 		}
 		for _, found := range result.KeyValues {
@@ -94,7 +98,7 @@
 				Vacant bool
 			}
 			if err := json.Unmarshal(found.Value, &record); err != nil {
-				done(false, eris.Wrap(err, "decode ownership"))
+				done(false, eris.Wrap(err, "decode ownership record"))
 				return
 			}
 			done(record.Epoch == epoch && !record.Vacant, nil)
--- a/internal/applier/demand.go
+++ b/internal/applier/demand.go
@@ -11,32 +11,35 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// gatewayEntry is what one gateway reported.
+// gatewayEntry is the state kept about one gateway.
 type gatewayEntry struct {
 	id, address string
-	sequence    uint64
-	seenAt      time.Time
-	// demands in order of row.
+	// sequence is that of the newest report.
+	sequence     uint64
+	lastReportAt time.Time
+	// demands are sorted by row.
 	demands []rowDemand
-	// told is when the gateway was last told the endpoints of a model.
-	told map[string]time.Time
-	// interest is when the gateway last had demand for a model.
-	interest map[string]time.Time
-	// refreshed is when the gateway was last sent a model's load figures.
-	refreshed map[string]time.Time
+	// cachedAt is when the gateway was last sent a model's endpoints, reported to have them, or was
+	// presumed to have them. The gateway may send requests to replicas of these models.
+	cachedAt map[string]time.Time
+	// lastDemand is when the gateway last reported demand for a model.
+	lastDemand map[string]time.Time
+	// loadSentAt is when the gateway was last sent a model's load figures.
+	loadSentAt map[string]time.Time
 }
 
+// rowDemand is a gateway's newest report of demand for a row.
 type rowDemand struct {
 	directory.Demand
 	receivedAt time.Time
 }
 
-// receiveDemand takes a report in and answers it with the endpoints of the
-// models asked for.
+// receiveDemand processes a report and returns the endpoints of the models that it names, except
+// those that the gateway has cached. It fails with errNotOwner once the owner has stopped.
 func (o *Owner) receiveDemand(report directory.DemandReport) (directory.EndpointUpdate, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if o.ended {
+	if o.stopped {
 		return directory.EndpointUpdate{}, errNotOwner
 	}
 	now := o.config.Clock.Now()
@@ -45,69 +48,71 @@
 	if current {
 		gateway.sequence = report.Sequence
 		gateway.address = report.PeerAddress
-		gateway.seenAt = now
+		gateway.lastReportAt = now
 	}
 	models := make([]string, 0, len(report.Demands))
 	for _, demand := range report.Demands {
-		model := o.baseOf(demand.Row)
+		model := o.baseModel(demand.Row)
 		models = append(models, model)
-		gateway.interest[model] = now
+		gateway.lastDemand[model] = now
 		if !current {
 			continue
 		}
-		begins := gateway.take(demand, now)
-		o.noteArrivals(demand, model, now)
-		if begins && !o.serves(model) {
+		startsWaiting := gateway.setDemand(demand, now)
+		o.recordArrivals(demand, model, now)
+		if startsWaiting && !o.hasRoutableReplica(model) {
 			o.wakeLocked()
 		}
-		o.dirty = o.dirty || demand.Waiting > 0
+		o.planNeeded = o.planNeeded || demand.Waiting > 0
 	}
 	slices.Sort(models)
 	models = slices.Compact(models)
-	return o.updateFor(gateway, o.withoutKnown(gateway, models, report.Known, now), now), nil
+	return o.buildUpdate(gateway, o.omitCached(gateway, models, report.Known, now), now), nil
 }
 
-// withoutKnown leaves out the models whose endpoints the gateway has, unless
-// their load figures are due.
-func (o *Owner) withoutKnown(gateway *gatewayEntry, models []string, known []directory.KnownRow, now time.Time) []string {
+// omitCached removes the models whose endpoints the gateway has cached unchanged, unless their load
+// figures are due to be sent.
+func (o *Owner) omitCached(gateway *gatewayEntry, models []string, cached []directory.KnownRow, now time.Time) []string {
 	return slices.DeleteFunc(models, func(model string) bool {
-		at := slices.IndexFunc(known, func(row directory.KnownRow) bool { return row.Model == model })
-		if at < 0 || now.Sub(gateway.refreshed[model]) >= o.config.Intervals.LoadRefresh {
+		index := slices.IndexFunc(cached, func(row directory.KnownRow) bool { return row.Model == model })
+		if index < 0 || now.Sub(gateway.loadSentAt[model]) >= o.config.Intervals.LoadRefresh {
 			return false
 		}
-		if known[at].Digest != o.endpointsOf(model).Digest {
+		if cached[index].Digest != o.endpointsOf(model).Digest {
 			return false
 		}
-		gateway.told[model] = now
+		gateway.cachedAt[model] = now
 		return true
 	})
 }
 
+// gateway returns the entry of a gateway, which it creates if there is none.
 func (o *Owner) gateway(id string) *gatewayEntry {
-	at, found := slices.BinarySearchFunc(o.gateways, id, func(entry *gatewayEntry, id string) int {
+	index, found := slices.BinarySearchFunc(o.gateways, id, func(entry *gatewayEntry, id string) int {
 		return cmp.Compare(entry.id, id)
 	})
 	if !found {
-		entry := &gatewayEntry{id: id, told: map[string]time.Time{}, interest: map[string]time.Time{}, refreshed: map[string]time.Time{}}
-		o.gateways = slices.Insert(o.gateways, at, entry)
+		entry := &gatewayEntry{id: id, cachedAt: map[string]time.Time{}, lastDemand: map[string]time.Time{}, loadSentAt: map[string]time.Time{}}
+		o.gateways = slices.Insert(o.gateways, index, entry)
 	}
-	return o.gateways[at]
+	return o.gateways[index]
 }
 
-// take notes a row's demand and reports whether requests begin to wait.
-func (g *gatewayEntry) take(demand directory.Demand, now time.Time) (begins bool) {
-	at, found := slices.BinarySearchFunc(g.demands, demand.Row, func(entry rowDemand, row string) int {
+// setDemand stores a row's demand and reports whether requests started to wait.
+func (g *gatewayEntry) setDemand(demand directory.Demand, now time.Time) (startsWaiting bool) {
+	index, found := slices.BinarySearchFunc(g.demands, demand.Row, func(entry rowDemand, row string) int {
 		return cmp.Compare(entry.Row, row)
 	})
 	if !found {
-		g.demands = slices.Insert(g.demands, at, rowDemand{})
+		g.demands = slices.Insert(g.demands, index, rowDemand{})
 	}
-	begins = demand.Waiting > 0 && g.demands[at].Waiting == 0
-	g.demands[at] = rowDemand{Demand: demand, receivedAt: now}
-	return begins
+	startsWaiting = demand.Waiting > 0 && g.demands[index].Waiting == 0
+	g.demands[index] = rowDemand{Demand: demand, receivedAt: now}
+	return startsWaiting
 }
 
-func (o *Owner) noteArrivals(demand directory.Demand, model string, now time.Time) {
+// recordArrivals records that requests for a row, and for its base model, arrived or wait now.
+func (o *Owner) recordArrivals(demand directory.Demand, model string, now time.Time) {
 	if demand.Arrivals == 0 && demand.Waiting == 0 {
 		return
 	}
@@ -115,26 +120,27 @@
 	o.lastArrivals[model] = now
 }
 
-// baseOf returns the base model of a row.
-func (o *Owner) baseOf(name string) string {
-	row, known := o.config.Table.Row(name)
-	if known && row.Kind == table.KindAdapter {
+// baseModel returns the base model of an adapter's row, and the name itself for any other row.
+func (o *Owner) baseModel(name string) string {
+	row, found := o.config.Table.Row(name)
+	if found && row.Kind == table.KindAdapter {
 		return row.Base
 	}
 	return name
 }
 
-// serves reports whether a replica of the model is ready to be called.
-func (o *Owner) serves(model string) bool {
+// hasRoutableReplica reports whether a replica of the model that is not draining can be sent
+// requests.
+func (o *Owner) hasRoutableReplica(model string) bool {
 	for _, server := range o.servers {
-		if entry := server.replica(model); entry != nil && o.callable(server, entry) && entry.drain == nil {
+		if entry := server.replica(model); entry != nil && o.routable(server, entry) && entry.drain == nil {
 			return true
 		}
 	}
 	return false
 }
 
-// expireDemand drops demand that was not reported again.
+// expireDemand drops demand that was not reported again within DemandExpiry.
 func (o *Owner) expireDemand(now time.Time) {
 	for _, gateway := range o.gateways {
 		gateway.demands = slices.DeleteFunc(gateway.demands, func(demand rowDemand) bool {
@@ -143,10 +149,10 @@
 	}
 }
 
-// countCompeting counts for each base model the gateways whose requests wait or
-// run, so that each gateway can tell its part of the endpoints.
-func (o *Owner) countCompeting() {
-	counts := make(map[string]int, len(o.competing))
+// countActiveGateways counts, for each base model, the gateways with waiting or running requests,
+// from which each gateway computes its share of the endpoints.
+func (o *Owner) countActiveGateways() {
+	counts := make(map[string]int, len(o.activeGateways))
 	counted := map[string]int{}
 	for position, gateway := range o.gateways {
 		for i := range gateway.demands {
@@ -154,65 +160,66 @@
 			if demand.Waiting+demand.Running == 0 {
 				continue
 			}
-			model := o.baseOf(demand.Row)
+			model := o.baseModel(demand.Row)
 			if counted[model] != position+1 {
 				counted[model] = position + 1
 				counts[model]++
 			}
 		}
 	}
-	o.competing = counts
+	o.activeGateways = counts
 }
 
-// forgetGateways drops gateways that are silent and no members any more.
-func (o *Owner) forgetGateways(now time.Time) {
+// expireGateways drops gateways that have not reported within GatewayExpiry and are not members.
+func (o *Owner) expireGateways(now time.Time) {
 	o.gateways = slices.DeleteFunc(o.gateways, func(gateway *gatewayEntry) bool {
-		if now.Sub(gateway.seenAt) < o.config.Intervals.ForgetGateway {
+		if now.Sub(gateway.lastReportAt) < o.config.Intervals.GatewayExpiry {
 			return false
 		}
 		return !slices.ContainsFunc(o.members, func(member membership.Member) bool { return member.ID() == gateway.id })
 	})
 }
 
-// introduce counts every live member's gateway as told of a model that the
-// owner before had loaded, since that owner may have told it: drains of the
-// model are pushed to it and wait for it.
-func (o *Owner) introduce(model string, now time.Time) {
+// presumeCached records that the gateways of all live members have cached the endpoints of a model
+// that a previous owner loaded, since that owner may have sent them. Drains of the model are then
+// pushed to these gateways and wait for their acknowledgements.
+func (o *Owner) presumeCached(model string, now time.Time) {
 	for _, member := range o.members {
 		gateway := o.gateway(member.ID())
 		if gateway.address == "" {
 			gateway.address = member.PeerAddress
-			gateway.seenAt = now
+			gateway.lastReportAt = now
 		}
-		gateway.told[model] = now
+		gateway.cachedAt[model] = now
 	}
 }
 
-// demandByRow sums the gateways' demand up.
+// demandByRow returns the sum of all gateways' demand for each row.
 func (o *Owner) demandByRow() map[string]planner.Demand {
 	demands := make(map[string]planner.Demand, len(o.lastArrivals))
 	for _, gateway := range o.gateways {
 		for i := range gateway.demands {
-			reported := &gateway.demands[i]
-			demands[reported.Row] = addDemand(demands[reported.Row], &reported.Demand)
+			demand := &gateway.demands[i]
+			demands[demand.Row] = addDemand(demands[demand.Row], &demand.Demand)
 		}
 	}
 	return demands
 }
 
-func addDemand(sum planner.Demand, reported *directory.Demand) planner.Demand {
-	sum.Running += reported.Running
-	sum.ArrivalsPerSecond += reported.ArrivalsPerSecond
-	if reported.Waiting == 0 {
+// addDemand adds one gateway's demand for a row to the sum.
+func addDemand(sum planner.Demand, demand *directory.Demand) planner.Demand {
+	sum.Running += demand.Running
+	sum.ArrivalsPerSecond += demand.ArrivalsPerSecond
+	if demand.Waiting == 0 {
 		return sum
 	}
-	sum.Waiting += reported.Waiting
-	sum.HighestPriority = max(sum.HighestPriority, reported.HighestPriority)
-	if sum.OldestWait.IsZero() || reported.OldestWait.Before(sum.OldestWait) {
-		sum.OldestWait = reported.OldestWait
+	sum.Waiting += demand.Waiting
+	sum.HighestPriority = max(sum.HighestPriority, demand.HighestPriority)
+	if sum.OldestWait.IsZero() || demand.OldestWait.Before(sum.OldestWait) {
+		sum.OldestWait = demand.OldestWait
 	}
-	if sum.EarliestDeadline.IsZero() || reported.EarliestDeadline.Before(sum.EarliestDeadline) {
-		sum.EarliestDeadline = reported.EarliestDeadline
+	if sum.EarliestDeadline.IsZero() || demand.EarliestDeadline.Before(sum.EarliestDeadline) {
+		sum.EarliestDeadline = demand.EarliestDeadline
 	}
 	return sum
 }
--- a/internal/applier/digest_test.go
+++ b/internal/applier/digest_test.go
@@ -9,7 +9,8 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-func digestedRow() *directory.RowEndpoints {
+// newDigestedRow returns a row with eight endpoints.
+func newDigestedRow() *directory.RowEndpoints {
 	row := &directory.RowEndpoints{Model: "m", Gateways: 840}
 	for i := range 8 {
 		row.Endpoints = append(row.Endpoints, directory.Endpoint{
@@ -20,8 +21,8 @@
 	return row
 }
 
-// TestDigestOf changes one thing after the other that gateways act on, and the
-// load, on which the digest does not depend.
+// TestDigestOf checks that the digest changes with each field that gateways act on, and that it does
+// not depend on the load.
 func TestDigestOf(t *testing.T) {
 	changes := map[string]func(*directory.RowEndpoints){
 		"nothing":     func(*directory.RowEndpoints) {},
@@ -38,25 +39,25 @@
 	}
 	seen := map[uint64]string{}
 	for name, change := range changes {
-		row := digestedRow()
+		row := newDigestedRow()
 		change(row)
 		digest := digestOf(row)
-		if other, known := seen[digest]; known {
-			t.Errorf("%s and %s have the same digest", name, other)
+		if sameAs, found := seen[digest]; found {
+			t.Errorf("%s and %s have the same digest", name, sameAs)
 		}
 		seen[digest] = name
 	}
-	loaded := digestedRow()
+	loaded := newDigestedRow()
 	loaded.Endpoints[0].Running, loaded.Endpoints[0].Queued = 5, 7
 	loaded.Gateways++
-	if digestOf(loaded) != digestOf(digestedRow()) {
+	if digestOf(loaded) != digestOf(newDigestedRow()) {
 		t.Error("the digest depends on the load")
 	}
 }
 
-// BenchmarkDigestOf is the digest of a cell's part of an active row.
+// BenchmarkDigestOf measures the digest of one cell's endpoints of an active row.
 func BenchmarkDigestOf(b *testing.B) {
-	row := digestedRow()
+	row := newDigestedRow()
 	b.ReportAllocs()
 	for b.Loop() {
 		digestOf(row)
--- a/internal/applier/endpoints.go
+++ b/internal/applier/endpoints.go
@@ -15,69 +15,73 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// callable replicas are shown to gateways.
-func (o *Owner) callable(server *serverEntry, entry *replicaEntry) bool {
+// routable reports whether gateways are sent the replica as an endpoint. Draining replicas are sent
+// as well, marked as such.
+func (o *Owner) routable(server *serverEntry, entry *replicaEntry) bool {
 	return entry.Phase == outside.ReplicaReady && server.adopted && !server.unreachable()
 }
 
-// endpointsOf lists a model's endpoints in order of server.
+// endpointsOf returns a model's endpoints, sorted by server, with its planning status.
 func (o *Owner) endpointsOf(model string) directory.RowEndpoints {
-	endpoints := directory.RowEndpoints{Model: model, Gateways: o.competing[model]}
+	endpoints := directory.RowEndpoints{Model: model, Gateways: o.activeGateways[model]}
 	for _, server := range o.servers {
 		entry := server.replica(model)
-		if entry == nil || !o.callable(server, entry) {
+		if entry == nil || !o.routable(server, entry) {
 			continue
 		}
 		endpoints.Endpoints = append(endpoints.Endpoints, o.endpoint(server, entry))
 	}
-	plan, known := o.rowPlans[model]
+	plan, planned := o.rowPlans[model]
 	switch {
-	case known:
+	case planned:
 		endpoints.ReadyAt = plan.ReadyAt
 		endpoints.Refused = plan.Refused
-	case o.listed && o.plannedOnce():
+	case o.listingFresh && o.hasRowPlans():
 		endpoints.Refused = refusedUnknownRow
 	}
 	endpoints.Digest = digestOf(&endpoints)
 	return endpoints
 }
 
-// digestOf is a hash of what gateways act on but the load; never 0. The number of
-// gateways counts by powers of two, since it changes with every request.
+// digestOf returns a hash of all that gateways act on except the load; it is never 0. Of the number
+// of active gateways only the power of two counts, since the number changes with every request.
 func digestOf(row *directory.RowEndpoints) uint64 {
-	text := make([]byte, 0, digestBytes*(1+len(row.Endpoints)))
+	buffer := make([]byte, 0, digestBytesPerEndpoint*(1+len(row.Endpoints)))
 	for i := range row.Endpoints {
 		endpoint := &row.Endpoints[i]
-		text = appendWord(text, string(endpoint.Server))
-		text = appendWord(text, endpoint.Version)
-		text = binary.AppendVarint(text, int64(endpoint.Slot))
-		text = binary.AppendVarint(text, int64(endpoint.MaxBatch))
-		text = strconv.AppendBool(text, endpoint.Draining)
-		text = binary.AppendVarint(text, int64(len(endpoint.Adapters)))
+		buffer = appendString(buffer, string(endpoint.Server))
+		buffer = appendString(buffer, endpoint.Version)
+		buffer = binary.AppendVarint(buffer, int64(endpoint.Slot))
+		buffer = binary.AppendVarint(buffer, int64(endpoint.MaxBatch))
+		buffer = strconv.AppendBool(buffer, endpoint.Draining)
+		buffer = binary.AppendVarint(buffer, int64(len(endpoint.Adapters)))
 		for _, adapter := range endpoint.Adapters {
-			text = appendWord(text, adapter)
+			buffer = appendString(buffer, adapter)
 		}
 	}
-	text = binary.AppendVarint(text, row.ReadyAt.UnixNano())
-	text = appendWord(text, row.Refused)
-	text = binary.AppendVarint(text, int64(bits.Len(uint(row.Gateways))))
-	return max(1, xxhash.Sum64(text))
+	buffer = binary.AppendVarint(buffer, row.ReadyAt.UnixNano())
+	buffer = appendString(buffer, row.Refused)
+	buffer = binary.AppendVarint(buffer, int64(bits.Len(uint(row.Gateways))))
+	return max(1, xxhash.Sum64(buffer))
 }
 
-// digestBytes is about how long the text of one endpoint is.
-const digestBytes = 64
+// digestBytesPerEndpoint is the approximate encoded size of one endpoint.
+const digestBytesPerEndpoint = 64
 
-// appendWord adds a word with its length, so that no two lists look alike.
-func appendWord(text []byte, word string) []byte {
-	text = binary.AppendVarint(text, int64(len(word)))
-	return append(text, word...)
+// appendString appends a string prefixed with its length, so that different lists have different
+// encodings.
+func appendString(buffer []byte, value string) []byte {
+	buffer = binary.AppendVarint(buffer, int64(len(value)))
+	return append(buffer, value...)
 }
 
-// refusedUnknownRow is told of models that the owner's table does not have.
+// refusedUnknownRow is the refusal of models that are not in the owner's table.
 const refusedUnknownRow = "no_such_model"
 
-func (o *Owner) plannedOnce() bool { return len(o.rowPlans) > 0 }
+// hasRowPlans reports whether a plan with rows was made.
+func (o *Owner) hasRowPlans() bool { return len(o.rowPlans) > 0 }
 
+// endpoint describes a replica as gateways are sent it, with the adapters that are ready.
 func (o *Owner) endpoint(server *serverEntry, entry *replicaEntry) directory.Endpoint {
 	endpoint := directory.Endpoint{
 		Server: server.id, Zone: server.machine.Zone, Model: entry.Model, Version: entry.Version,
@@ -93,8 +97,9 @@
 	return endpoint
 }
 
-// updateFor makes an update of models for a gateway.
-func (o *Owner) updateFor(gateway *gatewayEntry, models []string, now time.Time) directory.EndpointUpdate {
+// buildUpdate returns an update with the models' endpoints for a gateway, and records that the
+// gateway has them.
+func (o *Owner) buildUpdate(gateway *gatewayEntry, models []string, now time.Time) directory.EndpointUpdate {
 	o.updateSequence++
 	update := directory.EndpointUpdate{
 		Cell: o.cell, Epoch: o.epoch, Sequence: o.updateSequence, Revision: o.revision,
@@ -102,19 +107,20 @@
 	}
 	for _, model := range models {
 		update.Rows = append(update.Rows, o.endpointsOf(model))
-		gateway.told[model] = now
-		gateway.refreshed[model] = now
+		gateway.cachedAt[model] = now
+		gateway.loadSentAt[model] = now
 	}
 	return update
 }
 
-// pushLocked tells gateways about the models whose endpoints have changed.
-func (o *Owner) pushLocked(now time.Time) {
-	if len(o.changed) == 0 {
+// pushChangesLocked sends the endpoints of changed models to the gateways interested in them. It
+// must be called with the lock held.
+func (o *Owner) pushChangesLocked(now time.Time) {
+	if len(o.changedModels) == 0 {
 		return
 	}
-	changed := slices.Sorted(maps.Keys(o.changed))
-	clear(o.changed)
+	changed := slices.Sorted(maps.Keys(o.changedModels))
+	clear(o.changedModels)
 	for _, gateway := range o.gateways {
 		var models []string
 		for _, model := range changed {
@@ -128,17 +134,19 @@
 	}
 }
 
-// interested gateways had demand for the model lately, or were told endpoints
-// that now drain.
+// interested reports whether changes of the model's endpoints are sent to the gateway: it had demand
+// for the model within InterestExpiry, or it may have cached endpoints of which one is draining.
 func (o *Owner) interested(gateway *gatewayEntry, model string, now time.Time) bool {
-	if at, known := gateway.interest[model]; known && now.Sub(at) < o.config.Intervals.Interest {
+	if lastDemand, found := gateway.lastDemand[model]; found && now.Sub(lastDemand) < o.config.Intervals.InterestExpiry {
 		return true
 	}
-	_, told := gateway.told[model]
-	return told && o.drains(model)
+	_, cached := gateway.cachedAt[model]
+	return cached && o.modelDraining(model)
 }
 
-func (o *Owner) drains(model string) bool {
+// modelDraining reports whether a replica of the model or an adapter on one is draining, or a server
+// with a replica is leaving.
+func (o *Owner) modelDraining(model string) bool {
 	for _, server := range o.servers {
 		entry := server.replica(model)
 		if entry == nil {
@@ -156,25 +164,26 @@
 	return false
 }
 
+// push sends a gateway the models' endpoints.
 func (o *Owner) push(gateway *gatewayEntry, models []string, now time.Time) {
-	update := o.updateFor(gateway, models, now)
-	o.config.Transport.Call(gateway.address, update, o.config.Intervals.Push, func(_ peer.Message, err error) {
-		o.pushed(gateway.id, update, err)
+	update := o.buildUpdate(gateway, models, now)
+	o.config.Transport.Call(gateway.address, update, o.config.Intervals.PushTimeout, func(_ peer.Message, err error) {
+		o.pushDone(gateway.id, update, err)
 	})
 }
 
-// pushed notes a gateway's acknowledgement; a lost push is sent again while
-// something drains.
-func (o *Owner) pushed(gateway string, update directory.EndpointUpdate, err error) {
+// pushDone records a gateway's acknowledgement. A failed push is repeated for the models of which
+// an endpoint is draining.
+func (o *Owner) pushDone(gateway string, update directory.EndpointUpdate, err error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if o.ended {
+	if o.stopped {
 		return
 	}
 	for _, row := range update.Rows {
 		if err != nil {
-			if o.drains(row.Model) {
-				o.changed[row.Model] = true
+			if o.modelDraining(row.Model) {
+				o.changedModels[row.Model] = true
 			}
 			continue
 		}
--- a/internal/applier/gateway_test.go
+++ b/internal/applier/gateway_test.go
@@ -10,31 +10,31 @@
 	"github.com/hatchplank/hatchplank/internal/simulation"
 )
 
-// gateway reports demand every half second and keeps what it is told.
+// gateway reports demand every half second and stores the endpoints that it is sent.
 type gateway struct {
 	cluster   *cluster
 	process   *simulation.Process
 	transport *simulation.PeerTransport
 	owner     string
-	// alsoTo gets the same reports, as from gateways that know another owner.
-	alsoTo   string
-	sequence uint64
-	waiting  map[string]int
-	known    map[string]directory.RowEndpoints
-	// digests: reports tell which endpoints are known.
-	digests bool
-	// rows counts the endpoints' lists received.
-	rows int
+	// otherOwner is sent the same reports, like those of gateways with another view of ownership.
+	otherOwner string
+	sequence   uint64
+	waiting    map[string]int
+	endpoints  map[string]directory.RowEndpoints
+	// reportsDigests: reports include the digests of cached endpoints.
+	reportsDigests bool
+	// rowsReceived counts the rows of the updates received.
+	rowsReceived int
 }
 
 func newGateway(c *cluster) *gateway {
 	g := &gateway{
 		cluster: c, process: simulation.NewProcess(c.loop, "gateway"),
-		waiting: map[string]int{}, known: map[string]directory.RowEndpoints{},
+		waiting: map[string]int{}, endpoints: map[string]directory.RowEndpoints{},
 	}
 	g.transport = c.peers.Transport(g.process)
 	g.transport.Handle(directory.EndpointUpdate{}, func(_ string, message peer.Message, reply func(peer.Message, error)) {
-		g.take(message)
+		g.receive(message)
 		reply(nil, nil)
 	})
 	clock.Repeat(g.process, 500*time.Millisecond, g.report)
@@ -45,16 +45,17 @@
 	return membership.Member{Name: "gateway", Incarnation: "1", PeerAddress: "gateway"}
 }
 
-func (g *gateway) take(message peer.Message) {
+func (g *gateway) receive(message peer.Message) {
 	if update, ok := message.(directory.EndpointUpdate); ok {
 		for _, row := range update.Rows {
-			g.known[row.Model] = row
-			g.rows++
+			g.endpoints[row.Model] = row
+			g.rowsReceived++
 		}
 	}
 }
 
-func (g *gateway) want(row string, requests int) {
+// setWaiting sets the number of requests waiting for a row, and reports it.
+func (g *gateway) setWaiting(row string, requests int) {
 	g.waiting[row] = requests
 	g.report()
 }
@@ -71,15 +72,15 @@
 		}
 	}
 	for _, demand := range report.Demands {
-		if g.digests {
-			report.Known = append(report.Known, directory.KnownRow{Model: demand.Row, Digest: g.known[demand.Row].Digest})
+		if g.reportsDigests {
+			report.Known = append(report.Known, directory.KnownRow{Model: demand.Row, Digest: g.endpoints[demand.Row].Digest})
 		}
 	}
 	if g.owner == "" || len(report.Demands) == 0 {
 		return
 	}
-	g.transport.Call(g.owner, report, time.Second, func(message peer.Message, _ error) { g.take(message) })
-	if g.alsoTo != "" && g.alsoTo != g.owner {
-		g.transport.Call(g.alsoTo, report, time.Second, func(peer.Message, error) {})
+	g.transport.Call(g.owner, report, time.Second, func(message peer.Message, _ error) { g.receive(message) })
+	if g.otherOwner != "" && g.otherOwner != g.owner {
+		g.transport.Call(g.otherOwner, report, time.Second, func(peer.Message, error) {})
 	}
 }
--- a/internal/applier/ledger.go
+++ b/internal/applier/ledger.go
@@ -9,61 +9,65 @@
 	"github.com/hatchplank/hatchplank/internal/planner"
 )
 
-// serverEntry is the ledger of one server.
+// serverEntry is the ledger entry of one server.
 type serverEntry struct {
 	id      outside.ServerID
 	machine outside.Machine
-	// listed is false once the machine list no longer shows the server.
+	// listed is false once the server is missing from the machine list.
 	listed bool
-	// mayHold is true until the server was heard: it counts as holding one
-	// replica of every model.
-	mayHold bool
+	// contentsUnknown is true until the server's state is read for the first time, unless it is known
+	// to hold nothing. Until then it counts as holding one replica of every model.
+	contentsUnknown bool
 
-	// adopted: the fence of this epoch was raised and the state read, in the
-	// present incarnation. Confirmed: the epoch was still current after that.
+	// adopted: in its current incarnation the engine accepted the fence of this epoch, and its state
+	// was read. confirmed: the epoch was still current after that.
 	adopted, confirmed bool
 	incarnation        outside.Incarnation
-	// state as last accepted; requestedAt is when it was asked for.
-	state       outside.EngineState
-	requestedAt time.Time
-	// loadsReadAt is when load figures were last asked for.
-	loadsReadAt time.Time
-
-	// sequence of the newest order; outstanding while its reply is awaited.
-	sequence    uint64
-	outstanding bool
-	// unknown: the newest order's outcome is not known; the next settles it.
-	unknown bool
-	// polling while a state reply is awaited that was asked for in generation.
+	// state is the newest state that was accepted, and stateRequestedAt when it was requested.
+	state            outside.EngineState
+	stateRequestedAt time.Time
+	// loadFiguresReadAt is when load figures were last requested.
+	loadFiguresReadAt time.Time
+
+	// sequence is that of the newest order, and orderInFlight is true until its reply arrives or it
+	// times out.
+	sequence      uint64
+	orderInFlight bool
+	// outcomeUnknown: it is unknown whether the newest order was applied. The reply to the next order
+	// resolves this.
+	outcomeUnknown bool
+	// polling is true while a state request is in flight. generation changes with each order sent and
+	// with each restart; a state that was requested in an earlier one is discarded.
 	polling    bool
 	generation uint64
 	nextPoll   time.Time
-	// failures of calls in a row, and when to try again.
+	// failures counts consecutive failed calls; before retryAt there is no further call.
 	failures int
 	retryAt  time.Time
 
-	// replicas in order of model.
+	// replicas are sorted by model.
 	replicas []*replicaEntry
-	// backoffs in order of model or adapter.
+	// backoffs are sorted by name.
 	backoffs []loadBackoff
-	// commands to be sent by this tick.
+	// commands will be sent by the current tick, in one order.
 	commands []outside.Command
 }
 
-// loadBackoff follows a failed load of a model or adapter.
+// loadBackoff keeps a model or adapter whose load failed from being loaded again for a while.
 type loadBackoff struct {
 	name     string
 	failures int
 	until    time.Time
 }
 
-// replicaEntry is one held slot.
+// replicaEntry is a replica in any phase, which occupies a slot.
 type replicaEntry struct {
 	outside.ReplicaState
-	// seen: the engine has shown this attempt.
-	seen   bool
-	reason string
-	// since is when the phase was entered; orderedAt when the load was sent.
+	// reported: the engine has reported this load attempt.
+	reported bool
+	reason   string
+	// since is when the phase was entered. orderedAt is when the load was ordered, zero if by another
+	// owner. readyAt is an estimate of when the load completes.
 	since, orderedAt, readyAt time.Time
 	weightBytes               int64
 	drain                     *drain
@@ -73,46 +77,49 @@
 // adapterEntry is an adapter on a replica.
 type adapterEntry struct {
 	outside.AdapterState
-	seen      bool
+	reported  bool
 	reason    string
 	orderedAt time.Time
 	drain     *drain
 }
 
-// unreachableFailures in a row make a server unreachable.
+// unreachableFailures is the number of consecutive failed calls that make a server unreachable.
 const unreachableFailures = 3
 
 func (s *serverEntry) leaving() bool {
 	return s.machine.Phase == outside.MachineLeaving || s.state.Leaving
 }
 
-// usable servers can be given commands.
+// usable reports whether the server can be sent commands.
 func (s *serverEntry) usable() bool {
-	return s.adopted && s.confirmed && !s.unknown && s.failures == 0 && s.listed
+	return s.adopted && s.confirmed && !s.outcomeUnknown && s.failures == 0 && s.listed
 }
 
 func (s *serverEntry) unreachable() bool { return s.failures >= unreachableFailures }
 
-func (s *serverEntry) find(model string) (int, bool) {
+// search returns the position of a model's replica, or where it would be inserted.
+func (s *serverEntry) search(model string) (int, bool) {
 	return slices.BinarySearchFunc(s.replicas, model, func(entry *replicaEntry, model string) int {
 		return cmp.Compare(entry.Model, model)
 	})
 }
 
+// replica returns the model's replica, or nil.
 func (s *serverEntry) replica(model string) *replicaEntry {
-	at, found := s.find(model)
+	index, found := s.search(model)
 	if !found {
 		return nil
 	}
-	return s.replicas[at]
+	return s.replicas[index]
 }
 
 func (s *serverEntry) add(entry *replicaEntry) {
-	at, _ := s.find(entry.Model)
-	s.replicas = slices.Insert(s.replicas, at, entry)
+	index, _ := s.search(entry.Model)
+	s.replicas = slices.Insert(s.replicas, index, entry)
 }
 
-// committed is the memory held by replicas and adapters in any phase.
+// committed returns the memory reserved by replicas and adapters in any phase, in bytes. If the
+// engine reports that more is in use, it returns that.
 func (s *serverEntry) committed(mechanisms *Mechanisms) int64 {
 	total := int64(0)
 	for _, entry := range s.replicas {
@@ -130,18 +137,18 @@
 	return total
 }
 
-// forget drops everything that a dead incarnation held.
-func (s *serverEntry) forget() {
+// reset discards the state of an incarnation that has ended.
+func (s *serverEntry) reset() {
 	s.replicas = nil
 	s.adopted = false
 	s.confirmed = false
-	s.unknown = false
+	s.outcomeUnknown = false
 	s.incarnation = ""
 	s.state = outside.EngineState{}
 	s.generation++
 }
 
-// entryOf returns the entry that a reported replica belongs to, or nil.
+// entryOf returns the entry that a replica reported by the engine belongs to, or nil.
 func (s *serverEntry) entryOf(state *outside.ReplicaState, mechanisms *Mechanisms) *replicaEntry {
 	entry := s.replica(state.Model)
 	if entry == nil || (mechanisms.AttemptIdentity && entry.Attempt != state.Attempt) {
@@ -150,6 +157,7 @@
 	return entry
 }
 
+// adapter returns the adapter with this name, or nil.
 func (e *replicaEntry) adapter(name string) *adapterEntry {
 	for _, adapter := range e.adapters {
 		if adapter.Adapter == name {
@@ -159,8 +167,9 @@
 	return nil
 }
 
-// changing reports whether the server has to be polled fast.
-func (s *serverEntry) changing() bool {
+// inTransition reports whether a load, unload or drain is in progress, so that the server is polled
+// at FastPoll.
+func (s *serverEntry) inTransition() bool {
 	for _, entry := range s.replicas {
 		if entry.Phase != outside.ReplicaReady || entry.drain != nil {
 			return true
@@ -174,8 +183,9 @@
 	return false
 }
 
-// draining reports whether a drain waits for load figures.
-func (s *serverEntry) draining() bool {
+// hasDrain reports whether a replica or adapter is draining, so that each poll has to read the load
+// figures.
+func (s *serverEntry) hasDrain() bool {
 	for _, entry := range s.replicas {
 		if entry.drain != nil {
 			return true
@@ -189,11 +199,11 @@
 	return false
 }
 
-// view is the planner's picture of the replica.
+// view returns the replica as the planner sees it.
 func (e *replicaEntry) view() planner.Replica {
 	view := planner.Replica{
 		Model: e.Model, Version: e.Version, Slot: e.Slot, Attempt: e.Attempt, Phase: e.Phase,
-		Draining: e.drain != nil, UnloadOrdered: e.drain != nil && e.drain.ordered,
+		Draining: e.drain != nil, UnloadOrdered: e.drain != nil && e.drain.unloadOrdered,
 		Running: e.Running + e.Queued, MemoryBytes: e.MemoryBytes, Source: e.Source,
 		Since: e.since, ReadyAt: e.readyAt,
 	}
--- a/internal/applier/manager.go
+++ b/internal/applier/manager.go
@@ -19,21 +19,21 @@
 	config Config
 
 	mutex sync.Mutex
-	// owners by cell; names sorted.
-	owners map[string]*Owner
-	names  []string
-
-	store        outside.WeightStoreStatus
-	storeKnown   bool
-	storeReading bool
-	nextStore    time.Time
+	// owners by cell, and the sorted names of these cells.
+	owners    map[string]*Owner
+	cellNames []string
+
+	// lastStoreStatus is the weight store's status as last read; storeKnown is false before that.
+	lastStoreStatus   outside.WeightStoreStatus
+	storeKnown        bool
+	storeReadInFlight bool
+	nextStoreRead     time.Time
 }
 
 var _ membership.CellRunner = (*Manager)(nil)
 
-// NewManager returns a manager without cells. It sets the handler for demand
-// reports, so it is made before the transport starts. Tick is to be called
-// every Intervals.Tick.
+// NewManager returns a manager without cells. It registers the handler of demand reports, so it must
+// be called before the transport starts. The caller must call Tick every Intervals.Tick.
 func NewManager(config Config) *Manager {
 	if config.Intervals == (Intervals{}) {
 		config.Intervals = DefaultIntervals()
@@ -50,30 +50,30 @@
 	return m
 }
 
-// Acquired implements membership.CellRunner.
+// Acquired implements membership.CellRunner. It replaces an owner of the cell at an earlier epoch.
 func (m *Manager) Acquired(cell string, epoch uint64) {
 	m.Lost(cell)
 	owner := newOwner(&m.config, cell, epoch, m.storeStatus)
 	m.mutex.Lock()
 	m.owners[cell] = owner
-	m.sortNames()
+	m.updateCellNames()
 	m.mutex.Unlock()
 	owner.start()
 }
 
-// Lost implements membership.CellRunner. Nothing is sent for the cell any more.
+// Lost implements membership.CellRunner. After it returns nothing is sent for the cell any more.
 func (m *Manager) Lost(cell string) {
 	m.mutex.Lock()
 	owner := m.owners[cell]
 	delete(m.owners, cell)
-	m.sortNames()
+	m.updateCellNames()
 	m.mutex.Unlock()
 	if owner != nil {
 		owner.stop("lost")
 	}
 }
 
-// Release implements membership.CellRunner.
+// Release implements membership.CellRunner. It calls released at once if the cell is not owned here.
 func (m *Manager) Release(cell string, released func()) {
 	owner := m.owner(cell)
 	if owner == nil {
@@ -83,39 +83,42 @@
 	owner.release(released)
 }
 
-// Tick runs all cells' periodic work.
+// Tick runs the periodic work of all cells.
 func (m *Manager) Tick(now time.Time) {
-	m.readStore(now)
-	for _, owner := range m.all() {
+	m.readStoreStatus(now)
+	for _, owner := range m.sortedOwners() {
 		owner.tick()
 	}
 }
 
-func (m *Manager) sortNames() {
-	m.names = m.names[:0]
+// updateCellNames rebuilds cellNames from owners. It must be called with the lock held.
+func (m *Manager) updateCellNames() {
+	m.cellNames = m.cellNames[:0]
 	for name := range m.owners {
-		m.names = append(m.names, name)
+		m.cellNames = append(m.cellNames, name)
 	}
-	slices.Sort(m.names)
+	slices.Sort(m.cellNames)
 }
 
+// owner returns the cell's owner, or nil.
 func (m *Manager) owner(cell string) *Owner {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.owners[cell]
 }
 
-// all returns the owners in order of cell.
-func (m *Manager) all() []*Owner {
+// sortedOwners returns the owners, sorted by cell.
+func (m *Manager) sortedOwners() []*Owner {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	owners := make([]*Owner, 0, len(m.names))
-	for _, name := range m.names {
+	owners := make([]*Owner, 0, len(m.cellNames))
+	for _, name := range m.cellNames {
 		owners = append(owners, m.owners[name])
 	}
 	return owners
 }
 
+// handleDemand passes a demand report to the cell's owner and replies with its endpoint update.
 func (m *Manager) handleDemand(_ string, message peer.Message, reply func(peer.Message, error)) {
 	report, ok := message.(directory.DemandReport)
 	if !ok {
@@ -135,42 +138,44 @@
 	reply(update, nil)
 }
 
+// listingChanged makes all owners process a changed machine list without waiting for their tick.
 func (m *Manager) listingChanged() {
-	for _, owner := range m.all() {
+	for _, owner := range m.sortedOwners() {
 		owner.wake()
 	}
 }
 
-// readStore asks for the weight store's status once in a while.
-func (m *Manager) readStore(now time.Time) {
+// readStoreStatus reads the weight store's status each Intervals.StoreStatus while cells are owned.
+func (m *Manager) readStoreStatus(now time.Time) {
 	m.mutex.Lock()
-	due := m.config.Store != nil && !m.storeReading && len(m.owners) > 0 && !now.Before(m.nextStore)
+	due := m.config.Store != nil && !m.storeReadInFlight && len(m.owners) > 0 && !now.Before(m.nextStoreRead)
 	if due {
-		m.storeReading = true
-		m.nextStore = now.Add(m.config.Intervals.StoreStatus)
+		m.storeReadInFlight = true
+		m.nextStoreRead = now.Add(m.config.Intervals.StoreStatus)
 	}
 	m.mutex.Unlock()
 	if due {
-		m.config.Store.Status(m.config.Intervals.StateTimeout, m.storeRead)
+		m.config.Store.Status(m.config.Intervals.StateTimeout, m.storeStatusRead)
 	}
 }
 
-func (m *Manager) storeRead(status outside.WeightStoreStatus, err error) {
+func (m *Manager) storeStatusRead(status outside.WeightStoreStatus, err error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.storeReading = false
+	m.storeReadInFlight = false
 	if err != nil {
-		m.config.Logger.Debug().Err(err).Str("reason", "status_unavailable").Msg("weight store not read")
+		m.config.Logger.Debug().Err(err).Str("reason", "status_unavailable").Msg("weight store's status not read")
 		return
 	}
-	m.store = status
+	m.lastStoreStatus = status
 	m.storeKnown = true
 }
 
+// storeStatus returns the weight store's status as last read, and false if it was never read.
 func (m *Manager) storeStatus() (outside.WeightStoreStatus, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.store, m.storeKnown
+	return m.lastStoreStatus, m.storeKnown
 }
 
 var errNotOwner = eris.New("cell is no longer owned here")
--- a/internal/applier/orders.go
+++ b/internal/applier/orders.go
@@ -7,33 +7,33 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// Reasons of orders that were not accepted, as engines name them.
+// Reasons for which engines reject an order as a whole.
 const (
 	reasonStaleFence       = "stale_fence"
 	reasonOtherIncarnation = "other_incarnation"
 )
 
-// sendOrders sends to each server what this tick decided, and adopts or
-// settles servers where that is due.
+// sendOrders sends each server the commands that this tick issued. Servers that are not adopted, or
+// whose last order has an unknown outcome, are sent an order even without commands.
 func (o *Owner) sendOrders(now time.Time) {
 	for _, server := range o.servers {
-		if server.outstanding || now.Before(server.retryAt) {
+		if server.orderInFlight || now.Before(server.retryAt) {
 			continue
 		}
-		if len(server.commands) > 0 || !server.adopted || server.unknown {
+		if len(server.commands) > 0 || !server.adopted || server.outcomeUnknown {
 			o.sendOrder(now, server)
 		}
 	}
 }
 
-// sendOrder sends the server's commands, or an empty order.
+// sendOrder sends the server an order with its commands, if there are any.
 func (o *Owner) sendOrder(now time.Time, server *serverEntry) {
 	server.sequence++
 	order := outside.Order{
 		Server: server.id, Fence: o.fence(server), Incarnation: server.incarnation, Commands: server.commands,
 	}
 	server.commands = nil
-	server.outstanding = true
+	server.orderInFlight = true
 	server.generation++
 	sequence := server.sequence
 	for _, command := range order.Commands {
@@ -46,16 +46,17 @@
 	})
 }
 
+// fence returns the fence of the server's next order.
 func (o *Owner) fence(server *serverEntry) outside.Fence {
 	if !o.config.Mechanisms.Fence {
-		// Any owner's order passes that saw the newest state.
+		// Engines then accept an order of any owner that has read the newest state.
 		return outside.Fence{Epoch: 1, Sequence: server.state.Fence.Sequence + 1}
 	}
 	return outside.Fence{Epoch: o.epoch, Sequence: server.sequence}
 }
 
-// deliver hands an order to the engine. Without the Fence mechanism an order
-// without commands only reads the state.
+// deliver sends an order to the engine. Without the Fence mechanism, an order without commands only
+// reads the state.
 func (o *Owner) deliver(order outside.Order, done func(outside.OrderResult, error)) {
 	if o.config.Mechanisms.Fence || len(order.Commands) > 0 {
 		o.config.Engines.Order(order, o.config.Intervals.OrderTimeout, done)
@@ -70,8 +71,9 @@
 	})
 }
 
-var errNoState = errors.New("reply without state")
+var errNoState = errors.New("engine replied without its state")
 
+// orderDone handles the result of an order.
 func (o *Owner) orderDone(server *serverEntry, sequence uint64, sentAt time.Time, order outside.Order, result outside.OrderResult, err error) {
 	o.mutex.Lock()
 	released := o.orderDoneLocked(server, sequence, sentAt, order, result, err)
@@ -81,32 +83,34 @@
 	}
 }
 
+// orderDoneLocked handles the result of an order, unless the server or the order was replaced in the
+// meantime. The caller must hold the lock, and call released, unless nil, without it.
 func (o *Owner) orderDoneLocked(server *serverEntry, sequence uint64, sentAt time.Time, order outside.Order, result outside.OrderResult, err error) (released func()) {
-	if o.ended || o.byID[server.id] != server || server.sequence != sequence || !server.outstanding {
+	if o.stopped || o.byID[server.id] != server || server.sequence != sequence || !server.orderInFlight {
 		return nil
 	}
-	server.outstanding = false
+	server.orderInFlight = false
 	if err == nil && result.State.Server == "" {
 		err = errNoState
 	}
 	switch {
 	case err != nil:
-		server.unknown = true
-		o.failed(server, err)
+		server.outcomeUnknown = true
+		o.callFailed(server, err)
 	case !result.Accepted:
-		released = o.refused(server, result)
+		released = o.orderRefused(server, result)
 	default:
-		o.accepted(server, sentAt, order, result)
+		o.orderAccepted(server, sentAt, order, result)
 	}
-	if !o.ended {
+	if !o.stopped {
 		o.wakeLocked()
 	}
 	return released
 }
 
-// failed notes a call without answer. A server that is also no longer listed
-// is gone.
-func (o *Owner) failed(server *serverEntry, err error) {
+// callFailed records a failed call and backs off. A server that is not in the machine list any more
+// either is removed.
+func (o *Owner) callFailed(server *serverEntry, err error) {
 	server.failures++
 	if !server.listed {
 		o.removeServer(server)
@@ -115,61 +119,66 @@
 	pause := o.backoff(o.config.Intervals.RetryMin, o.config.Intervals.RetryMax, server.failures)
 	server.retryAt = o.config.Clock.Now().Add(pause)
 	if server.failures == unreachableFailures {
-		o.changedServer(server)
+		o.markModelsChanged(server)
 	}
 	o.logger.Warn().Err(err).Str("server", string(server.id)).Int("failures", server.failures).
 		Str("reason", "unanswered").Msg("server did not answer")
 }
 
-// backoff doubles with each failure and is jittered by up to a half.
-func (o *Owner) backoff(shortest, longest time.Duration, failures int) time.Duration {
-	pause := shortest << min(failures-1, 16)
-	pause = min(pause, longest)
+// backoff returns a pause that doubles with each failure, from minPause to maxPause, less a random
+// part of up to half of it.
+func (o *Owner) backoff(minPause, maxPause time.Duration, failures int) time.Duration {
+	pause := minPause << min(failures-1, 16)
+	pause = min(pause, maxPause)
 	return pause/2 + time.Duration(o.random.Int64N(int64(pause/2)+1))
 }
 
-func (o *Owner) refused(server *serverEntry, result outside.OrderResult) (released func()) {
+// orderRefused handles an order that the engine rejected as a whole. The caller must hold the lock,
+// and call released, unless nil, without it.
+func (o *Owner) orderRefused(server *serverEntry, result outside.OrderResult) (released func()) {
 	o.logger.Warn().Str("server", string(server.id)).Str("reason", result.Reason).
 		Str("fence", result.State.Fence.String()).Msg("order refused")
 	if result.Reason == reasonOtherIncarnation {
-		o.restarted(server)
+		o.serverRestarted(server)
 		return nil
 	}
 	if o.superseded(&result.State) {
-		return o.endLocked("superseded")
+		return o.stopLocked("superseded")
 	}
-	// A copy of an order that was applied, or a fence from before a reply was
-	// lost: a higher sequence settles it.
+	// Either a duplicate of an applied order was rejected, or an earlier order whose reply was lost
+	// had raised the fence. An order with a higher sequence resolves both.
 	if result.State.Fence.Epoch == o.epoch {
 		server.sequence = max(server.sequence, result.State.Fence.Sequence)
 	}
-	server.unknown = true
+	server.outcomeUnknown = true
 	return nil
 }
 
-// superseded reports whether an engine has seen a higher epoch.
+// superseded reports whether the engine has accepted a higher epoch than this owner's.
 func (o *Owner) superseded(state *outside.EngineState) bool {
 	return o.config.Mechanisms.Fence && state.Fence.Epoch > o.epoch
 }
 
-// restarted drops what a dead incarnation held.
-func (o *Owner) restarted(server *serverEntry) {
+// serverRestarted discards the state of the server's previous incarnation.
+func (o *Owner) serverRestarted(server *serverEntry) {
 	o.logger.Warn().Str("server", string(server.id)).Int("replicas", len(server.replicas)).
 		Str("reason", "restarted").Msg("server restarted")
-	o.changedServer(server)
-	server.forget()
-	server.mayHold = server.mayHold && o.config.Confirmer == nil
+	o.markModelsChanged(server)
+	server.reset()
+	server.contentsUnknown = server.contentsUnknown && o.config.Confirmer == nil
 }
 
-func (o *Owner) accepted(server *serverEntry, sentAt time.Time, order outside.Order, result outside.OrderResult) {
+// orderAccepted applies the state that came with an accepted order, which also adopts the server if
+// it was not adopted.
+func (o *Owner) orderAccepted(server *serverEntry, sentAt time.Time, order outside.Order, result outside.OrderResult) {
 	if server.incarnation != "" && server.incarnation != result.State.Incarnation {
-		o.restarted(server)
+		o.serverRestarted(server)
 	}
 	recovered := server.failures >= unreachableFailures
 	server.failures = 0
 	server.retryAt = time.Time{}
-	server.unknown = false
-	server.mayHold = false
+	server.outcomeUnknown = false
+	server.contentsUnknown = false
 	server.incarnation = result.State.Incarnation
 	if !server.adopted {
 		server.adopted = true
@@ -177,15 +186,16 @@
 		o.logger.Info().Str("server", string(server.id)).Int("replicas", len(result.State.Replicas)).
 			Str("reason", "adopted").Msg("server adopted")
 	}
-	o.takeState(server, &result.State, sentAt)
-	o.noteOutcomes(server, order, result)
+	o.applyState(server, &result.State, sentAt)
+	o.handleRejectedCommands(server, order, result)
 	if recovered {
-		o.changedServer(server)
+		o.markModelsChanged(server)
 	}
 }
 
-// noteOutcomes puts refused loads under a backoff.
-func (o *Owner) noteOutcomes(server *serverEntry, order outside.Order, result outside.OrderResult) {
+// handleRejectedCommands logs the commands of an accepted order that the engine rejected, and backs
+// off from the loads among them.
+func (o *Owner) handleRejectedCommands(server *serverEntry, order outside.Order, result outside.OrderResult) {
 	for i, command := range order.Commands {
 		if i >= len(result.Outcomes) || result.Outcomes[i].Accepted {
 			continue
--- a/internal/applier/planning.go
+++ b/internal/applier/planning.go
@@ -9,26 +9,27 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// planLocked runs the policy and takes over those of its decisions that keep
-// the rules.
+// planLocked runs the policy and applies those of its decisions that the verifier admits. It must be
+// called with the lock held.
 func (o *Owner) planLocked(now time.Time, store planner.Store) {
-	o.dirty = false
+	o.planNeeded = false
 	snapshot := o.snapshot(now, store)
-	o.observe(snapshot)
+	o.observeDemand(snapshot)
 	o.lastPlan = now
 	o.plan = o.config.Policy.Plan(snapshot)
-	o.takeRowPlans()
+	o.recordRowPlans()
 	verifier := planner.NewVerifier(snapshot)
 	for i := range o.plan.Decisions {
 		decision := &o.plan.Decisions[i]
 		if err := verifier.Admit(*decision); err != nil {
-			o.logger.Error().Err(err).Str("policy", o.config.Policy.Name()).Str("reason", "rule").Msg("decision not admitted")
+			o.logger.Error().Err(err).Str("policy", o.config.Policy.Name()).Str("reason", "rule").Msg("policy's decision breaks a rule; not applied")
 			continue
 		}
-		o.apply(now, decision)
+		o.applyDecision(now, decision)
 	}
 }
 
+// snapshot returns the input of the policy.
 func (o *Owner) snapshot(now time.Time, store planner.Store) *planner.Snapshot {
 	snapshot := &planner.Snapshot{Now: now, Revision: o.revision, Statistics: o.statistics}
 	demands := o.demandByRow()
@@ -42,7 +43,7 @@
 	snapshot.Servers = make([]planner.Server, len(o.servers))
 	for i, server := range o.servers {
 		snapshot.Servers[i] = o.serverView(server)
-		if server.mayHold && o.config.Mechanisms.AdoptBeforeAct {
+		if server.contentsUnknown && o.config.Mechanisms.AdoptBeforeAct {
 			snapshot.UnknownServers++
 		}
 	}
@@ -50,11 +51,12 @@
 	return snapshot
 }
 
+// serverView returns the server as the planner sees it.
 func (o *Owner) serverView(server *serverEntry) planner.Server {
 	view := planner.Server{
 		ID: server.id, Zone: server.machine.Zone, MemoryBytes: server.state.MemoryBytes,
 		CommittedBytes: server.committed(&o.config.Mechanisms), MaxBatch: server.state.MaxBatch,
-		Usable:      server.usable() && o.listed,
+		Usable:      server.usable() && o.listingFresh,
 		Unreachable: server.unreachable(), Leaving: server.leaving(),
 		Cached: server.state.Cached,
 	}
@@ -68,11 +70,12 @@
 	return view
 }
 
-// storeView refills the cell's share of the store's rate of starts.
+// storeView returns the weight store as the planner sees it, with the number of loads from it that
+// may start now. These are limited by a token bucket, which it refills at the store's rate.
 func (o *Owner) storeView(now time.Time, store planner.Store) planner.Store {
 	burst := max(1, store.LoadsPerSecond)
-	o.remoteTokens = min(burst, o.remoteTokens+now.Sub(o.tokensAt).Seconds()*store.LoadsPerSecond)
-	o.tokensAt = now
+	o.remoteTokens = min(burst, o.remoteTokens+now.Sub(o.tokensRefilledAt).Seconds()*store.LoadsPerSecond)
+	o.tokensRefilledAt = now
 	store.Starts = int(o.remoteTokens)
 	for _, server := range o.servers {
 		for _, entry := range server.replicas {
@@ -84,8 +87,8 @@
 	return store
 }
 
-// observe feeds the statistics with the present demand.
-func (o *Owner) observe(snapshot *planner.Snapshot) {
+// observeDemand updates the statistics with the current demand of each row.
+func (o *Owner) observeDemand(snapshot *planner.Snapshot) {
 	batch := 0
 	for i := range snapshot.Servers {
 		batch = max(batch, snapshot.Servers[i].MaxBatch)
@@ -109,12 +112,13 @@
 	}
 }
 
-// takeRowPlans notes the outlook of each model and pushes what is news.
-func (o *Owner) takeRowPlans() {
+// recordRowPlans stores the plan of each model, and marks the endpoints of a model as changed if it
+// is newly refused or no longer so, or if a replica is newly expected or no longer so.
+func (o *Owner) recordRowPlans() {
 	for _, row := range o.plan.Rows {
-		before := o.rowPlans[row.Model]
-		if before.Refused != row.Refused || before.ReadyAt.IsZero() != row.ReadyAt.IsZero() {
-			o.changed[row.Model] = true
+		previous := o.rowPlans[row.Model]
+		if previous.Refused != row.Refused || previous.ReadyAt.IsZero() != row.ReadyAt.IsZero() {
+			o.changedModels[row.Model] = true
 		}
 	}
 	clear(o.rowPlans)
@@ -123,8 +127,8 @@
 	}
 }
 
-// apply turns an admitted decision into commands and drains.
-func (o *Owner) apply(now time.Time, decision *planner.Decision) {
+// applyDecision turns an admitted decision into commands, or starts or cancels a drain.
+func (o *Owner) applyDecision(now time.Time, decision *planner.Decision) {
 	server := o.byID[decision.Server]
 	switch decision.Action {
 	case planner.ActionLoad:
@@ -144,7 +148,7 @@
 		}
 	case planner.ActionResume:
 		server.replica(decision.Model).drain = nil
-		o.changed[decision.Model] = true
+		o.changedModels[decision.Model] = true
 		o.logDecision(decision)
 	}
 }
@@ -156,19 +160,19 @@
 		Str("reason", decision.Reason.String()).Msg("decided")
 }
 
-// attempt returns an identity that is never used again.
-func (o *Owner) attempt() outside.AttemptID {
-	o.attempts++
-	return outside.AttemptID(fmt.Sprintf("load-%s-%d-%d", o.cell, o.epoch, o.attempts))
+// nextAttempt returns the unique id of a new load attempt.
+func (o *Owner) nextAttempt() outside.AttemptID {
+	o.attemptCount++
+	return outside.AttemptID(fmt.Sprintf("load-%s-%d-%d", o.cell, o.epoch, o.attemptCount))
 }
 
-// applyLoad reserves memory and slot and prepares the command. While an order
-// to the server is outstanding the decision is left to the next plan.
+// applyLoad reserves the memory and slot and issues the load command. While an order to the server
+// is in flight it does nothing; the next plan decides again.
 func (o *Owner) applyLoad(now time.Time, server *serverEntry, decision *planner.Decision) {
-	if server.outstanding {
+	if server.orderInFlight {
 		return
 	}
-	attempt := o.attempt()
+	attempt := o.nextAttempt()
 	if decision.Source == outside.SourceRemote {
 		o.remoteTokens--
 	}
@@ -190,12 +194,14 @@
 	o.logDecision(decision)
 }
 
+// applyLoadAdapter does for an adapter what applyLoad does for a model. It also does nothing if the
+// base model's replica is draining or has no entry.
 func (o *Owner) applyLoadAdapter(now time.Time, server *serverEntry, decision *planner.Decision) {
 	entry := server.replica(decision.Model)
-	if server.outstanding || entry == nil || entry.drain != nil {
+	if server.orderInFlight || entry == nil || entry.drain != nil {
 		return
 	}
-	attempt := o.attempt()
+	attempt := o.nextAttempt()
 	if o.config.Mechanisms.ReserveBeforeOrder {
 		entry.adapters = append(entry.adapters, &adapterEntry{
 			AdapterState: outside.AdapterState{
--- a/internal/applier/states.go
+++ b/internal/applier/states.go
@@ -8,10 +8,10 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// sendPolls reads the state of servers on which no order is under way.
+// sendPolls polls the state of the adopted servers that are due and have no order in flight.
 func (o *Owner) sendPolls(now time.Time) {
 	for _, server := range o.servers {
-		if server.polling || server.outstanding || server.unknown || !server.adopted {
+		if server.polling || server.orderInFlight || server.outcomeUnknown || !server.adopted {
 			continue
 		}
 		if now.Before(server.nextPoll) || now.Before(server.retryAt) {
@@ -21,10 +21,10 @@
 	}
 }
 
-// pollPeriod is how long after this poll of a server the next one comes.
+// pollPeriod returns the time from this poll of a server to the next one.
 func (o *Owner) pollPeriod(server *serverEntry) time.Duration {
 	switch {
-	case server.changing():
+	case server.inTransition():
 		return o.config.Intervals.FastPoll
 	case len(server.replicas) == 0:
 		return o.config.Intervals.IdlePoll
@@ -33,93 +33,101 @@
 	}
 }
 
+// poll requests the server's state, with load figures if these are needed.
 func (o *Owner) poll(now time.Time, server *serverEntry) {
 	server.nextPoll = now.Add(o.pollPeriod(server))
 	server.polling = true
 	since := server.state.Version
-	if server.draining() || now.Sub(server.loadsReadAt) >= o.config.Intervals.IdlePoll && len(server.replicas) > 0 {
-		// Load figures are only part of a full state.
+	if server.hasDrain() || now.Sub(server.loadFiguresReadAt) >= o.config.Intervals.IdlePoll && len(server.replicas) > 0 {
+		// Only a full state includes load figures.
 		since = 0
-		server.loadsReadAt = now
+		server.loadFiguresReadAt = now
 	}
 	generation := server.generation
 	o.config.Engines.State(server.id, since, o.config.Intervals.StateTimeout, func(state *outside.EngineState, err error) {
-		o.polled(server, generation, now, state, err)
+		o.pollDone(server, generation, now, state, err)
 	})
 }
 
-func (o *Owner) polled(server *serverEntry, generation uint64, askedAt time.Time, state *outside.EngineState, err error) {
+// pollDone handles the result of a poll.
+func (o *Owner) pollDone(server *serverEntry, generation uint64, requestedAt time.Time, state *outside.EngineState, err error) {
 	o.mutex.Lock()
-	released := o.polledLocked(server, generation, askedAt, state, err)
+	released := o.pollDoneLocked(server, generation, requestedAt, state, err)
 	o.mutex.Unlock()
 	if released != nil {
 		released()
 	}
 }
 
-func (o *Owner) polledLocked(server *serverEntry, generation uint64, askedAt time.Time, state *outside.EngineState, err error) (released func()) {
-	if o.ended || o.byID[server.id] != server {
+// pollDoneLocked applies a polled state, unless the server was replaced or sent an order in the
+// meantime. A nil state means that only the load has changed. The caller must hold the lock, and
+// call released, unless nil, without it.
+func (o *Owner) pollDoneLocked(server *serverEntry, generation uint64, requestedAt time.Time, state *outside.EngineState, err error) (released func()) {
+	if o.stopped || o.byID[server.id] != server {
 		return nil
 	}
 	server.polling = false
 	if generation != server.generation && o.config.Mechanisms.AttemptIdentity {
-		// An order went out meanwhile: this state may be from before it.
+		// An order was sent in the meantime, and this state may be from before it was applied.
 		return nil
 	}
 	switch {
 	case err != nil:
-		o.failed(server, err)
+		o.callFailed(server, err)
 		return nil
 	case state == nil:
-		o.answered(server)
+		o.callAnswered(server)
 		return nil
 	case o.superseded(state):
-		return o.endLocked("superseded")
+		return o.stopLocked("superseded")
 	case state.Incarnation != server.incarnation:
-		o.restarted(server)
+		o.serverRestarted(server)
 		o.wakeLocked()
 		return nil
 	}
-	o.answered(server)
-	if o.takeState(server, state, askedAt) {
+	o.callAnswered(server)
+	if o.applyState(server, state, requestedAt) {
 		o.wakeLocked()
 	}
 	return nil
 }
 
-func (o *Owner) answered(server *serverEntry) {
+// callAnswered ends the backoff after failed calls.
+func (o *Owner) callAnswered(server *serverEntry) {
 	if server.unreachable() {
-		o.changedServer(server)
+		o.markModelsChanged(server)
 	}
 	server.failures = 0
 	server.retryAt = time.Time{}
 }
 
-// takeState makes the ledger equal to a state that was read while no order was
-// under way, or by an order itself. It reports whether anything changed.
-func (o *Owner) takeState(server *serverEntry, state *outside.EngineState, askedAt time.Time) bool {
+// applyState sets the server's ledger entry from a state that was read while no order was in flight,
+// or that came with the reply to an order. It reports whether the state has changed.
+func (o *Owner) applyState(server *serverEntry, state *outside.EngineState, requestedAt time.Time) bool {
 	if o.config.Mechanisms.AttemptIdentity && state.Version < server.state.Version {
 		return false
 	}
 	changed := state.Version != server.state.Version
 	server.state = *state
-	server.requestedAt = askedAt
-	before := server.replicas
+	server.stateRequestedAt = requestedAt
+	previous := server.replicas
 	server.replicas = make([]*replicaEntry, 0, len(state.Replicas))
 	for i := range state.Replicas {
-		o.takeReplica(server, before, &state.Replicas[i])
+		o.applyReplica(server, previous, &state.Replicas[i])
 	}
 	slices.SortFunc(server.replicas, func(a, b *replicaEntry) int { return cmp.Compare(a.Model, b.Model) })
-	for _, entry := range before {
+	for _, entry := range previous {
 		if server.replica(entry.Model) != entry {
 			changed = true
-			o.replicaGone(server, entry, state)
+			o.replicaRemoved(server, entry, state)
 		}
 	}
 	return changed
 }
 
-func (o *Owner) takeReplica(server *serverEntry, before []*replicaEntry, state *outside.ReplicaState) {
+// applyReplica adds a replica of the engine's state to the server, with its previous entry if it has
+// one. Failed loads hold no slot and are left out.
+func (o *Owner) applyReplica(server *serverEntry, previous []*replicaEntry, state *outside.ReplicaState) {
 	mechanisms := &o.config.Mechanisms
 	if state.Phase == outside.ReplicaFailed {
 		return
@@ -127,42 +135,47 @@
 	if !mechanisms.ReleaseSlotOnConfirmation && state.Phase == outside.ReplicaUnloading {
 		return
 	}
-	known := serverEntry{replicas: before}
-	entry := known.entryOf(state, mechanisms)
+	previousEntries := serverEntry{replicas: previous}
+	entry := previousEntries.entryOf(state, mechanisms)
 	if entry == nil {
-		entry = o.discovered(state)
+		entry = o.newAdoptedReplica(state)
 	}
-	entry.drain.reorder(state.Phase)
+	entry.drain.resetUnload(state.Phase)
 	o.updateReplica(server, entry, state)
 	server.replicas = append(server.replicas, entry)
 }
 
-// discovered makes an entry of a replica that another owner loaded.
-func (o *Owner) discovered(state *outside.ReplicaState) *replicaEntry {
-	o.changed[state.Model] = true
+// newAdoptedReplica returns an entry for a replica that a previous owner loaded, and presumes that
+// gateways have cached the model's endpoints.
+func (o *Owner) newAdoptedReplica(state *outside.ReplicaState) *replicaEntry {
+	o.changedModels[state.Model] = true
 	now := o.config.Clock.Now()
-	o.introduce(state.Model, now)
+	o.presumeCached(state.Model, now)
 	return &replicaEntry{ReplicaState: outside.ReplicaState{Phase: state.Phase}, reason: "adopted", since: now}
 }
 
+// updateReplica updates a replica's entry from the engine's state. While it loads, the time when it
+// will be ready is extrapolated from the progress.
 func (o *Owner) updateReplica(server *serverEntry, entry *replicaEntry, state *outside.ReplicaState) {
 	now := o.config.Clock.Now()
 	if entry.Phase != state.Phase {
-		o.changed[state.Model] = true
+		o.changedModels[state.Model] = true
 		if entry.Phase == outside.ReplicaLoading && state.Phase == outside.ReplicaReady {
 			o.replicaReady(server, entry, state)
 		}
 		entry.since = now
 	}
-	entry.seen = true
+	entry.reported = true
 	entry.ReplicaState = *state
 	if state.Phase == outside.ReplicaLoading && state.Progress > 0.05 && !entry.orderedAt.IsZero() {
-		taken := now.Sub(entry.orderedAt)
-		entry.readyAt = entry.orderedAt.Add(time.Duration(float64(taken) / state.Progress))
+		elapsed := now.Sub(entry.orderedAt)
+		entry.readyAt = entry.orderedAt.Add(time.Duration(float64(elapsed) / state.Progress))
 	}
 	o.updateAdapters(server, entry, state.Adapters)
 }
 
+// replicaReady ends the model's load backoff on the server, and records how long the load took if
+// this owner ordered it.
 func (o *Owner) replicaReady(server *serverEntry, entry *replicaEntry, state *outside.ReplicaState) {
 	server.clearBackoff(entry.Model)
 	if entry.orderedAt.IsZero() {
@@ -174,13 +187,14 @@
 		Str("attempt", string(entry.Attempt)).Str("source", state.Source.String()).Dur("took", took).Msg("replica ready")
 }
 
-// replicaGone notes that an entry is no longer held: its slot is free.
-func (o *Owner) replicaGone(server *serverEntry, entry *replicaEntry, state *outside.EngineState) {
-	o.changed[entry.Model] = true
+// replicaRemoved handles a replica that is missing from the engine's state or whose load failed, so
+// that its slot is free.
+func (o *Owner) replicaRemoved(server *serverEntry, entry *replicaEntry, state *outside.EngineState) {
+	o.changedModels[entry.Model] = true
 	reason := "unloaded"
 	for i := range state.Replicas {
-		reported := &state.Replicas[i]
-		if reported.Attempt == entry.Attempt && reported.Phase == outside.ReplicaFailed {
+		replica := &state.Replicas[i]
+		if replica.Attempt == entry.Attempt && replica.Phase == outside.ReplicaFailed {
 			reason = "load_failed"
 			o.loadFailed(server, entry.Model, entry.Attempt)
 		}
@@ -189,44 +203,45 @@
 		Str("attempt", string(entry.Attempt)).Str("reason", reason).Msg("replica gone")
 }
 
+// updateAdapters updates the adapters of a replica from the engine's state.
 func (o *Owner) updateAdapters(server *serverEntry, entry *replicaEntry, states []outside.AdapterState) {
-	before := entry.adapters
+	previous := entry.adapters
 	entry.adapters = make([]*adapterEntry, 0, len(states))
 	for i := range states {
 		state := &states[i]
-		known := (&replicaEntry{adapters: before}).adapter(state.Adapter)
+		adapter := (&replicaEntry{adapters: previous}).adapter(state.Adapter)
 		if state.Phase == outside.ReplicaFailed {
-			if known != nil && known.Attempt == state.Attempt {
+			if adapter != nil && adapter.Attempt == state.Attempt {
 				o.loadFailed(server, state.Adapter, state.Attempt)
 			}
 			continue
 		}
-		if known == nil || (o.config.Mechanisms.AttemptIdentity && known.Attempt != state.Attempt) {
-			known = &adapterEntry{reason: "adopted"}
-			o.changed[entry.Model] = true
+		if adapter == nil || (o.config.Mechanisms.AttemptIdentity && adapter.Attempt != state.Attempt) {
+			adapter = &adapterEntry{reason: "adopted"}
+			o.changedModels[entry.Model] = true
 		}
-		if known.Phase != state.Phase {
-			o.changed[entry.Model] = true
+		if adapter.Phase != state.Phase {
+			o.changedModels[entry.Model] = true
 		}
-		known.drain.reorder(state.Phase)
-		known.AdapterState = *state
-		known.seen = true
-		entry.adapters = append(entry.adapters, known)
+		adapter.drain.resetUnload(state.Phase)
+		adapter.AdapterState = *state
+		adapter.reported = true
+		entry.adapters = append(entry.adapters, adapter)
 	}
-	if len(entry.adapters) != len(before) {
-		o.changed[entry.Model] = true
+	if len(entry.adapters) != len(previous) {
+		o.changedModels[entry.Model] = true
 	}
 }
 
-// loadFailed keeps a model or adapter off the server for a while.
+// loadFailed backs off from loading a model or adapter on the server.
 func (o *Owner) loadFailed(server *serverEntry, name string, attempt outside.AttemptID) {
-	at, found := slices.BinarySearchFunc(server.backoffs, name, func(entry loadBackoff, name string) int {
+	index, found := slices.BinarySearchFunc(server.backoffs, name, func(entry loadBackoff, name string) int {
 		return cmp.Compare(entry.name, name)
 	})
 	if !found {
-		server.backoffs = slices.Insert(server.backoffs, at, loadBackoff{name: name})
+		server.backoffs = slices.Insert(server.backoffs, index, loadBackoff{name: name})
 	}
-	entry := &server.backoffs[at]
+	entry := &server.backoffs[index]
 	entry.failures++
 	pause := o.backoff(o.config.Intervals.LoadBackoffMin, o.config.Intervals.LoadBackoffMax, entry.failures)
 	entry.until = o.config.Clock.Now().Add(pause)
@@ -234,6 +249,7 @@
 		Int("failures", entry.failures).Dur("pause", pause).Str("reason", "load_failed").Msg("load failed")
 }
 
+// clearBackoff ends the backoff of a model or adapter.
 func (s *serverEntry) clearBackoff(name string) {
 	s.backoffs = slices.DeleteFunc(s.backoffs, func(entry loadBackoff) bool { return entry.name == name })
 }
--- a/internal/applier/status.go
+++ b/internal/applier/status.go
@@ -7,53 +7,56 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// CellStatus is a cell owned here, for the status page.
+// CellStatus describes a cell that this node owns, for status pages.
 type CellStatus struct {
 	Cell     string
 	Epoch    uint64
 	Revision table.Revision
 	Policy   string
-	// Releasing: the cell is being given away.
+	// Releasing: the cell is being released to another owner.
 	Releasing bool
-	// Unheard servers count as holding one replica of every model.
-	Unheard int
-	Servers []ServerStatus
+	// UnknownServers is the number of servers whose state was not read yet. Each counts as holding
+	// one replica of every model.
+	UnknownServers int
+	Servers        []ServerStatus
 }
 
-// ServerStatus is one server of a cell.
+// ServerStatus describes one server of a cell.
 type ServerStatus struct {
 	Server                      outside.ServerID
 	Zone                        string
 	Incarnation                 outside.Incarnation
 	Adopted, Confirmed, Leaving bool
-	// Listed is false when the machine list no longer shows the server.
+	// Listed is false once the server is missing from the machine list.
 	Listed bool
-	// Unknown: the outcome of the newest order is not known yet.
-	Unknown                     bool
+	// OutcomeUnknown: it is unknown whether the newest order was applied.
+	OutcomeUnknown bool
+	// Failures counts consecutive failed calls.
 	Failures                    int
 	MemoryBytes, CommittedBytes int64
 	Replicas                    []ReplicaStatus
 }
 
-// ReplicaStatus is one held slot.
+// ReplicaStatus describes one replica, which occupies a slot.
 type ReplicaStatus struct {
 	Model   string
 	Version string
 	Slot    outside.SlotID
 	Attempt outside.AttemptID
 	Phase   outside.ReplicaPhase
-	// Reason says why it was loaded; DrainReason why it goes, For whom.
-	Reason, DrainReason, For string
-	Running, Queued          int
-	Since, ReadyAt           time.Time
-	MemoryBytes              int64
-	Adapters                 []string
+	// Reason is why it was loaded. DrainReason is why it is being unloaded, and ForRow the row that
+	// needs its capacity; both are empty unless it is draining.
+	Reason, DrainReason, ForRow string
+	Running, Queued             int
+	Since, ReadyAt              time.Time
+	MemoryBytes                 int64
+	Adapters                    []string
 }
 
-// Status describes the cells owned here, in order of name.
+// Status describes the cells that this node owns, sorted by name.
 func (m *Manager) Status() []CellStatus {
 	var statuses []CellStatus
-	for _, owner := range m.all() {
+	for _, owner := range m.sortedOwners() {
 		statuses = append(statuses, owner.status())
 	}
 	return statuses
@@ -67,8 +70,8 @@
 		Policy: o.config.Policy.Name(), Releasing: o.releasing != nil,
 	}
 	for _, server := range o.servers {
-		if server.mayHold {
-			status.Unheard++
+		if server.contentsUnknown {
+			status.UnknownServers++
 		}
 		status.Servers = append(status.Servers, o.serverStatus(server))
 	}
@@ -79,7 +82,7 @@
 	status := ServerStatus{
 		Server: server.id, Zone: server.machine.Zone, Incarnation: server.incarnation,
 		Adopted: server.adopted, Confirmed: server.confirmed, Leaving: server.leaving(), Listed: server.listed,
-		Unknown: server.unknown, Failures: server.failures,
+		OutcomeUnknown: server.outcomeUnknown, Failures: server.failures,
 		MemoryBytes: server.state.MemoryBytes, CommittedBytes: server.committed(&o.config.Mechanisms),
 	}
 	for _, entry := range server.replicas {
@@ -95,7 +98,7 @@
 	}
 	if e.drain != nil {
 		status.DrainReason = e.drain.reason
-		status.For = e.drain.forRow
+		status.ForRow = e.drain.forRow
 	}
 	for _, adapter := range e.adapters {
 		status.Adapters = append(status.Adapters, adapter.Adapter)
