--- a/internal/applier/config.go
+++ b/internal/applier/config.go
@@ -77,7 +77,7 @@
 type Intervals struct {
 	// Tick is the period of Manager.Tick.
 	Tick time.Duration
-	// Coalesce is the minimum time between two ticks of a cell that events request.
+	// Coalesce is the minimum time from one tick of a cell to the next that an event triggers.
 	Coalesce time.Duration
 	// OrderTimeout and StateTimeout are the timeouts of calls to engines. StateTimeout is also that
 	// of reading the weight store's status.
@@ -99,12 +99,14 @@
 	// DemandExpiry is how long a gateway's demand for a row counts without a new report.
 	DemandExpiry time.Duration
 	// InterestExpiry is how long after its last demand for a model a gateway is sent changes of the
-	// model's endpoints.
+	// model's endpoints. For the same time after a takeover, gateways may have cached endpoints
+	// without having reported to the new owner, so that drains don't end with the acknowledgements.
 	InterestExpiry time.Duration
 	// LoadRefresh is how often a gateway is sent the load of endpoints that it has cached.
 	LoadRefresh time.Duration
 	// DrainDelay is the maximum wait for gateways to acknowledge a drain. DrainDelayUnreachable is
-	// the maximum if one of them is a live member, which is then unreachable from here.
+	// the maximum if one of them is a live member, which is then unreachable from here, and for drains
+	// soon after a takeover that no row waits for. Drains on leaving machines wait at most DrainDelay.
 	DrainDelay, DrainDelayUnreachable time.Duration
 	// DrainSettle covers requests in transit and the lag of load figures: a replica is unloaded
 	// once its engine reports no requests in a state that was requested at least this long after
--- a/internal/applier/engine_states.go
+++ b/internal/applier/engine_states.go
@@ -60,8 +60,8 @@
 }
 
 // pollDoneLocked applies a polled state, unless the server was replaced or sent an order in the
-// meantime. A nil state means that only the load has changed. The caller must hold the lock, and
-// call released, unless nil, without it.
+// meantime. A nil state means that nothing but the load has changed. The caller must hold the lock,
+// and call released, unless nil, without it.
 func (o *Owner) pollDoneLocked(server *serverEntry, generation uint64, requestedAt time.Time, state *outside.EngineState, err error) (released func()) {
 	if o.stopped || o.byID[server.id] != server {
 		return nil
