--- a/internal/applier/applier_test.go
+++ b/internal/applier/applier_test.go
@@ -38,7 +38,8 @@
 		Expect(c.gateway.endpoints["a"].Endpoints).To(HaveLen(1))
 		c.gateway.rowsReceived = 0
 		c.loop.RunFor(20 * time.Second)
-		// 40 reports within 20 s, of which those every LoadRefresh (5 s) are answered with endpoints.
+		// 40 reports within 20 s, of which those every LoadRefresh (5 s) are answered with
+		// endpoints.
 		Expect(c.gateway.rowsReceived).To(And(BeNumerically(">=", 3), BeNumerically("<=", 5)))
 		cachedRow := c.gateway.endpoints["a"]
 		cachedRow.Digest++
--- a/internal/applier/cluster_test.go
+++ b/internal/applier/cluster_test.go
@@ -48,7 +48,8 @@
 	extraDelay map[string]time.Duration
 }
 
-// node is one hatchplank node with its manager. It implements applier.Confirmer and membership.View.
+// node is one hatchplank node with its manager. It implements applier.Confirmer and
+// membership.View.
 type node struct {
 	cluster *cluster
 	process *simulation.Process
--- a/internal/applier/config.go
+++ b/internal/applier/config.go
@@ -105,8 +105,9 @@
 	// LoadRefresh is how often a gateway is sent the load of endpoints that it has cached.
 	LoadRefresh time.Duration
 	// DrainDelay is the maximum wait for gateways to acknowledge a drain. DrainDelayUnreachable is
-	// the maximum if one of them is a live member, which is then unreachable from here, and for drains
-	// soon after a takeover that no row waits for. Drains on leaving machines wait at most DrainDelay.
+	// the maximum if one of them is a live member, which is then unreachable from here, and for
+	// drains soon after a takeover that no row waits for. Drains on leaving machines wait at most
+	// DrainDelay.
 	DrainDelay, DrainDelayUnreachable time.Duration
 	// DrainSettle covers requests in transit and the lag of load figures: a replica is unloaded
 	// once its engine reports no requests in a state that was requested at least this long after
@@ -120,8 +121,8 @@
 	GatewayExpiry time.Duration
 	// PushTimeout is the timeout of an endpoint update sent to a gateway.
 	PushTimeout time.Duration
-	// ReleaseTimeout is the maximum wait for orders in flight, or whose outcome is unknown, before a
-	// cell is released.
+	// ReleaseTimeout is the maximum wait for orders in flight, or whose outcome is unknown, before
+	// a cell is released.
 	ReleaseTimeout time.Duration
 	// StoreStatus is the period at which the weight store's status is read.
 	StoreStatus time.Duration
--- a/internal/applier/digest_test.go
+++ b/internal/applier/digest_test.go
@@ -21,8 +21,8 @@
 	return row
 }
 
-// TestDigestOf checks that the digest changes with each field that gateways act on, and that it does
-// not depend on the load.
+// TestDigestOf checks that the digest changes with each field that gateways act on, and that it
+// does not depend on the load.
 func TestDigestOf(t *testing.T) {
 	changes := map[string]func(*directory.RowEndpoints){
 		"nothing":     func(*directory.RowEndpoints) {},
--- a/internal/applier/drain.go
+++ b/internal/applier/drain.go
@@ -19,8 +19,8 @@
 	// unacknowledged are the gateways whose acknowledgement is missing.
 	unacknowledged map[string]bool
 	// waitFullDelay: the drain lasts the whole drain delay, whatever is acknowledged. It is set
-	// soon after a takeover, as the previous owner may have sent the endpoints to gateways that have
-	// not reported to this owner yet.
+	// soon after a takeover, as the previous owner may have sent the endpoints to gateways that
+	// have not reported to this owner yet.
 	waitFullDelay bool
 	// quiescentSince is when the last gateway acknowledged, or the drain delay passed; zero before
 	// that. It moves on if requests are seen while acknowledgements are missing.
@@ -68,8 +68,8 @@
 	d.checkQuiescent(now)
 }
 
-// checkQuiescent sets quiescentSince once no acknowledgement is missing, unless the full drain delay
-// has to pass.
+// checkQuiescent sets quiescentSince once no acknowledgement is missing, unless the full drain
+// delay has to pass.
 func (d *drain) checkQuiescent(now time.Time) {
 	if len(d.unacknowledged) == 0 && !d.waitFullDelay && d.quiescentSince.IsZero() {
 		d.quiescentSince = now
@@ -92,7 +92,8 @@
 	}
 	if running > 0 {
 		if len(d.unacknowledged) > 0 || d.waitFullDelay {
-			// A gateway that has not acknowledged may still be sending requests: wait until none run.
+			// A gateway that has not acknowledged may still be sending requests: wait until none
+			// run.
 			d.quiescentSince = now
 		}
 		return false
@@ -134,8 +135,8 @@
 	return slices.ContainsFunc(o.members, func(member membership.Member) bool { return d.unacknowledged[member.ID()] })
 }
 
-// advanceDrains issues the unload commands of drains that have finished, on servers that can be sent
-// an order now.
+// advanceDrains issues the unload commands of drains that have finished, on servers that can be
+// sent an order now.
 func (o *Owner) advanceDrains(now time.Time) {
 	for _, server := range o.servers {
 		if server.orderInFlight || !server.usable() {
--- a/internal/applier/endpoints.go
+++ b/internal/applier/endpoints.go
@@ -134,8 +134,9 @@
 	}
 }
 
-// interested reports whether changes of the model's endpoints are sent to the gateway: it had demand
-// for the model within InterestExpiry, or it may have cached endpoints of which one is draining.
+// interested reports whether changes of the model's endpoints are sent to the gateway: it had
+// demand for the model within InterestExpiry, or it may have cached endpoints of which one is
+// draining.
 func (o *Owner) interested(gateway *gatewayEntry, model string, now time.Time) bool {
 	if lastDemand, found := gateway.lastDemand[model]; found && now.Sub(lastDemand) < o.config.Intervals.InterestExpiry {
 		return true
@@ -144,8 +145,8 @@
 	return cached && o.modelDraining(model)
 }
 
-// modelDraining reports whether a replica of the model or an adapter on one is draining, or a server
-// with a replica is leaving.
+// modelDraining reports whether a replica of the model or an adapter on one is draining, or a
+// server with a replica is leaving.
 func (o *Owner) modelDraining(model string) bool {
 	for _, server := range o.servers {
 		entry := server.replica(model)
--- a/internal/applier/engine_states.go
+++ b/internal/applier/engine_states.go
@@ -101,8 +101,8 @@
 	server.retryAt = time.Time{}
 }
 
-// applyState sets the server's ledger entry from a state that was read while no order was in flight,
-// or that came with the reply to an order. It reports whether the state has changed.
+// applyState sets the server's ledger entry from a state that was read while no order was in
+// flight, or that came with the reply to an order. It reports whether the state has changed.
 func (o *Owner) applyState(server *serverEntry, state *outside.EngineState, requestedAt time.Time) bool {
 	if o.config.Mechanisms.AttemptIdentity && state.Version < server.state.Version {
 		return false
@@ -125,8 +125,8 @@
 	return changed
 }
 
-// applyReplica adds a replica of the engine's state to the server, with its previous entry if it has
-// one. Failed loads hold no slot and are left out.
+// applyReplica adds a replica of the engine's state to the server, with its previous entry if it
+// has one. Failed loads hold no slot and are left out.
 func (o *Owner) applyReplica(server *serverEntry, previous []*replicaEntry, state *outside.ReplicaState) {
 	mechanisms := &o.config.Mechanisms
 	if state.Phase == outside.ReplicaFailed {
--- a/internal/applier/ledger.go
+++ b/internal/applier/ledger.go
@@ -15,12 +15,12 @@
 	machine outside.Machine
 	// listed is false once the server is missing from the machine list.
 	listed bool
-	// contentsUnknown is true until the server's state is read for the first time, unless it is known
-	// to hold nothing. Until then it counts as holding one replica of every model.
+	// contentsUnknown is true until the server's state is read for the first time, unless it is
+	// known to hold nothing. Until then it counts as holding one replica of every model.
 	contentsUnknown bool
 
-	// adopted: in its current incarnation the engine accepted the fence of this epoch, and its state
-	// was read. confirmed: the epoch was still current after that.
+	// adopted: in its current incarnation the engine accepted the fence of this epoch, and its
+	// state was read. confirmed: the epoch was still current after that.
 	adopted, confirmed bool
 	incarnation        outside.Incarnation
 	// state is the newest state that was accepted, and stateRequestedAt when it was requested.
@@ -33,11 +33,11 @@
 	// times out.
 	sequence      uint64
 	orderInFlight bool
-	// outcomeUnknown: it is unknown whether the newest order was applied. The reply to the next order
-	// resolves this.
+	// outcomeUnknown: it is unknown whether the newest order was applied. The reply to the next
+	// order resolves this.
 	outcomeUnknown bool
-	// polling is true while a state request is in flight. generation changes with each order sent and
-	// with each restart; a state that was requested in an earlier one is discarded.
+	// polling is true while a state request is in flight. generation changes with each order sent
+	// and with each restart; a state that was requested in an earlier one is discarded.
 	polling    bool
 	generation uint64
 	nextPoll   time.Time
@@ -66,8 +66,8 @@
 	// reported: the engine has reported this load attempt.
 	reported bool
 	reason   string
-	// since is when the phase was entered. orderedAt is when the load was ordered, zero if by another
-	// owner. readyAt is an estimate of when the load completes.
+	// since is when the phase was entered. orderedAt is when the load was ordered, zero if by
+	// another owner. readyAt is an estimate of when the load completes.
 	since, orderedAt, readyAt time.Time
 	weightBytes               int64
 	drain                     *drain
--- a/internal/applier/manager.go
+++ b/internal/applier/manager.go
@@ -32,8 +32,8 @@
 
 var _ membership.CellRunner = (*Manager)(nil)
 
-// NewManager returns a manager without cells. It registers the handler of demand reports, so it must
-// be called before the transport starts. The caller must call Tick every Intervals.Tick.
+// NewManager returns a manager without cells. It registers the handler of demand reports, so it
+// must be called before the transport starts. The caller must call Tick every Intervals.Tick.
 func NewManager(config Config) *Manager {
 	if config.Intervals == (Intervals{}) {
 		config.Intervals = DefaultIntervals()
@@ -73,7 +73,8 @@
 	}
 }
 
-// Release implements membership.CellRunner. It calls released at once if the cell is not owned here.
+// Release implements membership.CellRunner. It calls released at once if the cell is not owned
+// here.
 func (m *Manager) Release(cell string, released func()) {
 	owner := m.owner(cell)
 	if owner == nil {
--- a/internal/applier/orders.go
+++ b/internal/applier/orders.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// orderDoneLocked handles the result of an order, unless the server or the order was replaced in the
-// meantime. The caller must hold the lock, and call released, unless nil, without it.
+// orderDoneLocked handles the result of an order, unless the server or the order was replaced in
+// the meantime. The caller must hold the lock, and call released, unless nil, without it.
 func (o *Owner) orderDoneLocked(server *serverEntry, sequence uint64, sentAt time.Time, order outside.Order, result outside.OrderResult, err error) (released func()) {
 	if o.stopped || o.byID[server.id] != server || server.sequence != sequence || !server.orderInFlight {
 		return nil
--- a/internal/applier/owner.go
+++ b/internal/applier/owner.go
@@ -43,8 +43,8 @@
 	listingVersion uint64
 
 	gateways []*gatewayEntry
-	// activeGateways counts the gateways with waiting or running requests for each base model, as of
-	// the newest tick.
+	// activeGateways counts the gateways with waiting or running requests for each base model, as
+	// of the newest tick.
 	activeGateways map[string]int
 	// members are the live nodes as of the newest tick. Each has a gateway.
 	members []membership.Member
@@ -184,8 +184,8 @@
 // and endpoint updates that are due.
 func (o *Owner) tick() {
 	listing, readAt := o.config.Machines.Listing()
-	// The revision is read before the rows. If the rows are newer than it, the next tick sees a newer
-	// revision and reads them again.
+	// The revision is read before the rows. If the rows are newer than it, the next tick sees a
+	// newer revision and reads them again.
 	revision := o.config.Table.Revision()
 	rows := o.config.Table.Rows()
 	store, storeKnown := o.store()
--- a/internal/applier/planning.go
+++ b/internal/applier/planning.go
@@ -9,8 +9,8 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// planLocked runs the policy and applies those of its decisions that the verifier admits. It must be
-// called with the lock held.
+// planLocked runs the policy and applies those of its decisions that the verifier admits. It must
+// be called with the lock held.
 func (o *Owner) planLocked(now time.Time, store planner.Store) {
 	o.planNeeded = false
 	snapshot := o.snapshot(now, store)
--- a/internal/applier/random_faults_test.go
+++ b/internal/applier/random_faults_test.go
@@ -158,8 +158,8 @@
 		c.gateway.setWaiting("a", 1)
 		c.loop.RunFor(time.Second)
 		for _, machine := range c.machines {
-			// A checkpoint in memory makes the next owner choose another server, whichever the first
-			// owner chose.
+			// A checkpoint in memory makes the next owner choose another server, whichever the
+			// first owner chose.
 			if machine.Server != loadedServer {
 				c.fleet.Host(machine.Server).Engine.SeedCheckpoint("a", "1", outside.SourceMemory, gigabyte)
 			}
