--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -133,7 +133,7 @@
 	})
 })
 
-var _ = Describe("memory", func() {
+var _ = Describe("room", func() {
 	It("is freed by the model that is least likely to be requested", func() {
 		demand := map[string]*placement.Demand{"c": waiting(1), "a": idle(0.5, time.Second), "b": idle(0.05, 20*time.Second)}
 		actions := placement.Plan(input(demand, server("1", "a", "b"))).Actions
--- a/internal/planner/adapter_room_test.go
+++ b/internal/planner/adapter_memory_test.go
@@ -7,8 +7,8 @@
 	"github.com/hatchplank/hatchplank/internal/planner"
 )
 
-var _ = Describe("Room for adapters", func() {
-	It("loads one more base model when an adapter in demand fits beside none", func() {
+var _ = Describe("Memory for adapters", func() {
+	It("is gained by one more replica of the base model if an adapter in demand fits beside none", func() {
 		held := ready("base", "1", 0, 20*gigabyte)
 		plan := mustPolicy(planner.PolicyHatchplank).Plan(&planner.Snapshot{
 			Now:     start,
@@ -21,7 +21,7 @@
 			HaveField("Action", planner.ActionLoadAdapter), HaveField("Adapter", "style"))))
 	})
 
-	It("is kept beside a base model while other servers have room", func() {
+	It("is reserved beside a base model while other servers have free memory", func() {
 		held := ready("base", "1", 0, 20*gigabyte)
 		plan := mustPolicy(planner.PolicyHatchplank).Plan(&planner.Snapshot{
 			Now: start,
--- a/internal/planner/adapters.go
+++ b/internal/planner/adapters.go
@@ -5,39 +5,40 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// decidedLoad is a base model's load decided by this plan.
+// decidedLoad is the load of a base model in this plan, as indices of its row and server.
 type decidedLoad struct{ row, server int }
 
-// host is a replica that can hold an adapter.
+// host is a replica on which an adapter can be loaded.
 type host struct {
 	server int
-	// attempt is empty for a replica loaded by this plan.
+	// attempt of the replica; empty if this plan loads it.
 	attempt outside.AttemptID
 	ready   bool
 	busy    int
 }
 
-// adapterNeed is the memory of the base model's adapters with waiting requests.
-func (w *workspace) adapterNeed(base int) int64 {
-	if w.adapterNeeds == nil {
-		w.sumAdapterNeeds()
+// waitingAdapterMemory returns the memory in bytes of the base model's adapters with waiting
+// requests.
+func (w *workspace) waitingAdapterMemory(base int) int64 {
+	if w.waitingAdapterMemories == nil {
+		w.sumWaitingAdapterMemory()
 	}
-	return w.adapterNeeds[base]
+	return w.waitingAdapterMemories[base]
 }
 
-// sumAdapterTotals adds up the memory of each base model's adapters.
-func (w *workspace) sumAdapterTotals() {
-	w.adapterTotals = make([]int64, len(w.rows))
+// sumAdapterMemory adds up the memory of each base model's adapters.
+func (w *workspace) sumAdapterMemory() {
+	w.adapterMemory = make([]int64, len(w.rows))
 	for i := range w.rows {
 		row := &w.snapshot.Rows[i]
 		base, known := w.index[row.Base]
 		if known && row.Kind == table.KindAdapter && row.Max > 0 {
-			w.adapterTotals[base] += row.MemoryBytes
+			w.adapterMemory[base] += row.MemoryBytes
 		}
 	}
 }
 
-// reserveForAdapters keeps room beside a replica for the adapters of its model
+// reserveForAdapters reserves memory on a replica's server for the adapters of its model
 // that it does not hold yet.
 func (w *workspace) reserveForAdapters(server int, replica *Replica) {
 	base, known := w.index[replica.Model]
@@ -45,12 +46,12 @@
 		return
 	}
 	held := replica.memory() - replica.MemoryBytes
-	w.servers[server].reserved += max(0, w.adapterTotals[base]-held)
+	w.servers[server].reserved += max(0, w.adapterMemory[base]-held)
 }
 
-// wantRoomForAdapters asks for one more replica of a base model when an adapter
-// in demand fits beside none of those there are.
-func (w *workspace) wantRoomForAdapters() {
+// scaleUpForAdapters raises the desired replicas of a base model by one if an adapter with
+// waiting requests fits beside none of the present replicas.
+func (w *workspace) scaleUpForAdapters() {
 	for i := range w.rows {
 		row := &w.snapshot.Rows[i]
 		base, known := w.index[row.Base]
@@ -61,12 +62,11 @@
 		if w.rows[i].demand.Waiting == 0 || w.rows[i].held > 0 || work.current == 0 || w.fitsBesideReplica(row) {
 			continue
 		}
-		work.want(min(work.current+work.outdated+1, w.snapshot.Rows[base].Max), ReasonScaleUp)
+		work.raiseDesired(min(work.current+work.outdated+1, w.snapshot.Rows[base].Max), ReasonScaleUp)
 	}
 }
 
-// fitsBesideReplica reports whether a replica of the adapter's base model has
-// room for it on its server.
+// fitsBesideReplica reports whether a replica of the adapter's base model can host it.
 func (w *workspace) fitsBesideReplica(row *Row) bool {
 	for s := range w.snapshot.Servers {
 		replica := w.snapshot.Servers[s].replica(row.Base)
@@ -77,19 +77,19 @@
 	return false
 }
 
-func (w *workspace) sumAdapterNeeds() {
-	w.adapterNeeds = make([]int64, len(w.rows))
+func (w *workspace) sumWaitingAdapterMemory() {
+	w.waitingAdapterMemories = make([]int64, len(w.rows))
 	for i := range w.rows {
 		row := &w.snapshot.Rows[i]
 		base := w.bases[i]
 		if base >= 0 && w.rows[i].demand.Waiting > 0 && row.Max > 0 {
-			w.adapterNeeds[base] += row.MemoryBytes
+			w.waitingAdapterMemories[base] += row.MemoryBytes
 		}
 	}
 }
 
-// loadAdapters removes adapters that must go and puts those in demand on the
-// replicas of their base models.
+// loadAdapters unloads adapters that must not stay and loads those in demand on the replicas
+// of their base models.
 func (w *workspace) loadAdapters() {
 	holders := w.retireAdapters()
 	for i := range w.rows {
@@ -107,7 +107,7 @@
 	}
 }
 
-// wantedHolders is how many replicas should hold the adapter.
+// wantedHolders returns how many replicas should hold the adapter.
 func (w *workspace) wantedHolders(i int) int {
 	row := &w.snapshot.Rows[i]
 	wanted := max(row.Min, NeededReplicas(w.rows[i].demand.Load(), w.batch()))
@@ -117,8 +117,8 @@
 	return min(wanted, row.Max)
 }
 
-// retireAdapters unloads adapters of removed rows, of old versions and over
-// the maximum, and returns the number of staying holders of each row.
+// retireAdapters unloads adapters of removed rows, of old versions and beyond the maximum.
+// It returns the number of holders that each row keeps.
 func (w *workspace) retireAdapters() []int {
 	holders := make([]int, len(w.rows))
 	for s := range w.snapshot.Servers {
@@ -140,16 +140,16 @@
 	if adapter.Draining || adapter.Phase == outside.ReplicaUnloading {
 		return
 	}
-	at, known := w.index[adapter.Name]
+	i, known := w.index[adapter.Name]
 	reason := ReasonRowRemoved
 	switch {
-	case !known || w.snapshot.Rows[at].Kind != table.KindAdapter || w.snapshot.Rows[at].Base != replica.Model:
-	case adapter.Version != w.snapshot.Rows[at].Version:
+	case !known || w.snapshot.Rows[i].Kind != table.KindAdapter || w.snapshot.Rows[i].Base != replica.Model:
+	case adapter.Version != w.snapshot.Rows[i].Version:
 		reason = ReasonVersionChange
-	case holders[at] >= w.snapshot.Rows[at].Max:
+	case holders[i] >= w.snapshot.Rows[i].Max:
 		reason = ReasonOverMaximum
 	default:
-		holders[at]++
+		holders[i]++
 		return
 	}
 	w.decide(Decision{
@@ -158,7 +158,8 @@
 	})
 }
 
-// loadAdapter puts the adapter on one more replica of its base model.
+// loadAdapter loads the adapter on one more replica of its base model. It returns false if
+// no replica can host it.
 func (w *workspace) loadAdapter(i int) bool {
 	row := &w.snapshot.Rows[i]
 	base := w.bases[i]
@@ -186,7 +187,8 @@
 	return true
 }
 
-// chooseHost prefers replicas that are ready and least busy.
+// chooseHost prefers ready replicas, and among these the one with the fewest running
+// requests.
 func (w *workspace) chooseHost(i, base int) (host, bool) {
 	best, found := host{}, false
 	for _, option := range w.hosts(i, base) {
@@ -197,6 +199,8 @@
 	return best, found
 }
 
+// hosts returns the replicas, including those that this plan loads, that can host the
+// adapter.
 func (w *workspace) hosts(i, base int) []host {
 	row := &w.snapshot.Rows[i]
 	var hosts []host
@@ -210,13 +214,14 @@
 		hosts = append(hosts, host{server: s, attempt: replica.Attempt, ready: ready, busy: replica.Running})
 	}
 	for _, load := range w.loads {
-		if load.row == base && w.servers[load.server].free >= row.MemoryBytes && !w.placedHere(load.server, row.Name) {
+		if load.row == base && w.servers[load.server].free >= row.MemoryBytes && !w.isPlaced(load.server, row.Name) {
 			hosts = append(hosts, host{server: load.server})
 		}
 	}
 	return hosts
 }
 
+// canHost reports whether the adapter may be loaded on the replica and fits on its server.
 func (w *workspace) canHost(s int, replica *Replica, row *Row) bool {
 	server := &w.snapshot.Servers[s]
 	stays := server.Usable && !server.Leaving && !replica.Draining && !w.evicted[replica]
@@ -224,10 +229,11 @@
 	if !stays || !loaded || w.servers[s].free < row.MemoryBytes || w.backedOff(server, row.Name) {
 		return false
 	}
-	return !server.holdsAdapter(row.Base, row.Name) && !w.placedHere(s, row.Name)
+	return !server.holdsAdapter(row.Base, row.Name) && !w.isPlaced(s, row.Name)
 }
 
-func (w *workspace) placedHere(s int, name string) bool {
+// isPlaced reports whether this plan loads the row on the server.
+func (w *workspace) isPlaced(s int, name string) bool {
 	for _, placed := range w.servers[s].placed {
 		if placed == name {
 			return true
--- a/internal/planner/benchmark_test.go
+++ b/internal/planner/benchmark_test.go
@@ -10,7 +10,7 @@
 	"github.com/hatchplank/hatchplank/internal/planner"
 )
 
-// largeSnapshot is a cell with a share of waiting rows.
+// largeSnapshot returns a cell in which requests wait for a quarter of the rows.
 func largeSnapshot(servers, rows int) *planner.Snapshot {
 	random := rand.New(rand.NewPCG(1, 2))
 	snapshot := &planner.Snapshot{Now: start, Statistics: planner.NewStatistics()}
@@ -23,16 +23,16 @@
 		snapshot.Statistics.Observe(start.Add(-time.Duration(random.IntN(7200))*time.Second), row.Name, row.Tenant, 1)
 	}
 	for i := range servers {
-		made := server(fmt.Sprintf("lm-%05d", i), 320*gigabyte)
-		for m := random.IntN(rows); m < rows && len(made.Replicas) < 4; m += 1 + random.IntN(9) {
+		result := server(fmt.Sprintf("lm-%05d", i), 320*gigabyte)
+		for m := random.IntN(rows); m < rows && len(result.Replicas) < 4; m += 1 + random.IntN(9) {
 			replica := ready(snapshot.Rows[m].Name, "1", outside.SlotID(random.IntN(4)), snapshot.Rows[m].MemoryBytes)
-			made.Replicas = append(made.Replicas, replica)
-			made.CommittedBytes += replica.MemoryBytes
+			result.Replicas = append(result.Replicas, replica)
+			result.CommittedBytes += replica.MemoryBytes
 		}
-		for m := random.IntN(5); m < rows && len(made.Cached) < 40; m += 1 + random.IntN(2*rows/40) {
-			made = withCache(made, snapshot.Rows[m].Name, outside.SourceDisk)
+		for m := random.IntN(5); m < rows && len(result.Cached) < 40; m += 1 + random.IntN(2*rows/40) {
+			result = withCache(result, snapshot.Rows[m].Name, outside.SourceDisk)
 		}
-		snapshot.Servers = append(snapshot.Servers, made)
+		snapshot.Servers = append(snapshot.Servers, result)
 	}
 	return snapshot
 }
--- a/internal/planner/cost.go
+++ b/internal/planner/cost.go
@@ -9,48 +9,48 @@
 )
 
 const (
-	// minimumKeep is the shortest time that an idle replica stays, so that the
-	// pause between two requests never unloads it.
-	minimumKeep = 5 * time.Second
-	// extraKeepAlive is how long a replica beyond a row's first stays. Requests
-	// don't wait for it to be loaded again as long as the first serves them.
+	// minKeepAlive is the shortest time that an idle replica is kept, so that a pause
+	// between two requests never unloads it.
+	minKeepAlive = 5 * time.Second
+	// extraKeepAlive is how long an idle replica beyond a row's first is kept. Requests
+	// need not wait until it is loaded again, since the first replica serves them.
 	extraKeepAlive = time.Minute
-	// enoughGaps is how many idle gaps make a learned distribution usable.
-	enoughGaps = 3
-	// victimHorizon is how far ahead the next use of a victim is looked for.
+	// minGaps is how many idle gaps must be recorded before their distribution is used.
+	minGaps = 3
+	// victimHorizon is the time within which a victim's next use counts as a cold start.
 	victimHorizon = 10 * time.Minute
 )
 
-// coldSeconds estimates the row's next cold start from its fastest checkpoint
-// in the cell.
-func (w *workspace) coldSeconds(i int) float64 {
-	return w.loadSeconds(w.snapshot.Rows[i].WeightBytes, w.bestSource(i))
+// coldStartSeconds estimates the duration of the row's next cold start, loaded from its
+// fastest checkpoint in the cell.
+func (w *workspace) coldStartSeconds(i int) float64 {
+	return w.loadSeconds(w.snapshot.Rows[i].WeightBytes, w.fastestSource(i))
 }
 
-// bestSource is the fastest source of the row's checkpoint on any server.
-func (w *workspace) bestSource(i int) outside.CheckpointSource {
-	if w.best == nil {
-		w.findBestSources()
+// fastestSource returns the fastest source of the row's checkpoint on any server.
+func (w *workspace) fastestSource(i int) outside.CheckpointSource {
+	if w.fastestSources == nil {
+		w.findFastestSources()
 	}
-	return w.best[i]
+	return w.fastestSources[i]
 }
 
-func (w *workspace) findBestSources() {
-	w.best = make([]outside.CheckpointSource, len(w.rows))
-	for i := range w.best {
-		w.best[i] = outside.SourceRemote
+func (w *workspace) findFastestSources() {
+	w.fastestSources = make([]outside.CheckpointSource, len(w.rows))
+	for i := range w.fastestSources {
+		w.fastestSources[i] = outside.SourceRemote
 	}
 	for s := range w.snapshot.Servers {
 		for _, cached := range w.snapshot.Servers[s].Cached {
 			i, known := w.index[cached.Name]
 			if known && cached.Version == w.snapshot.Rows[i].Version {
-				w.best[i] = min(w.best[i], cached.Source)
+				w.fastestSources[i] = min(w.fastestSources[i], cached.Source)
 			}
 		}
 	}
 }
 
-// sourceAt is where a server would take a row's weights from.
+// sourceAt returns where a server would read a row's weights from.
 func (w *workspace) sourceAt(server *Server, row *Row) outside.CheckpointSource {
 	cached := server.Cached
 	at := sort.Search(len(cached), func(k int) bool { return cached[k].Name >= row.Name })
@@ -63,49 +63,50 @@
 	return best
 }
 
-// idleCostPerSecond weighs a second of one idle replica.
+// idleCostPerSecond returns the cost of keeping one idle replica for a second: its share of
+// the largest server, weighted against cold starts.
 func (w *workspace) idleCostPerSecond(i int) float64 {
 	share := 1.0
-	if w.largest > 0 {
-		share = min(1, float64(w.snapshot.Rows[i].MemoryBytes)/float64(w.largest))
+	if w.largestMemory > 0 {
+		share = min(1, float64(w.snapshot.Rows[i].MemoryBytes)/float64(w.largestMemory))
 	}
 	return (1 - w.policy.parameters.ColdStartWeight) * share
 }
 
-// coldCost weighs one cold start of the row.
-func (w *workspace) coldCost(i int) float64 {
+// weightedColdStart returns the cost of one cold start of the row, in the unit of
+// idleCostPerSecond.
+func (w *workspace) weightedColdStart(i int) float64 {
 	parameters := &w.policy.parameters
-	return parameters.ColdStartWeight * parameters.ColdSecondWorth * w.coldSeconds(i)
+	return parameters.ColdStartWeight * parameters.ColdSecondWorth * w.coldStartSeconds(i)
 }
 
-// keepByCost keeps a replica for as long as the expected cost of its next cold
-// start exceeds the expected cost of idling until then, but not beyond the
-// longest keep-alive.
-func keepByCost(w *workspace, i int, lastNeeded time.Time) time.Duration {
-	return min(keepWhileWorth(w, i, lastNeeded), w.policy.parameters.KeepAlive)
+// boundedKeepAliveByCost keeps a replica as long as the expected cost of its next cold start
+// exceeds the expected cost of idling until then, but not longer than Parameters.KeepAlive.
+func boundedKeepAliveByCost(w *workspace, i int, lastNeeded time.Time) time.Duration {
+	return min(keepAliveByCost(w, i, lastNeeded), w.policy.parameters.KeepAlive)
 }
 
-// keepWhileWorth is the same without a longest keep-alive. Without a learned
-// distribution a replica stays until idling has cost as much as one cold start.
-func keepWhileWorth(w *workspace, i int, lastNeeded time.Time) time.Duration {
-	idleCost, coldCost := w.idleCostPerSecond(i), w.coldCost(i)
+// keepAliveByCost is boundedKeepAliveByCost without the bound. With fewer than minGaps
+// recorded gaps, a replica is kept until idling has cost as much as one cold start.
+func keepAliveByCost(w *workspace, i int, lastNeeded time.Time) time.Duration {
+	idleCost, coldCost := w.idleCostPerSecond(i), w.weightedColdStart(i)
 	if idleCost == 0 {
 		return math.MaxInt64
 	}
-	breakEven := time.Duration(min(coldCost/idleCost, maxKeepSeconds) * float64(time.Second))
+	breakEven := time.Duration(min(coldCost/idleCost, maxKeepAliveSeconds) * float64(time.Second))
 	statistics := w.snapshot.Statistics.Row(w.snapshot.Rows[i].Name)
-	if statistics == nil || statistics.gapCount() < enoughGaps || lastNeeded.IsZero() {
-		return max(minimumKeep, breakEven)
+	if statistics == nil || statistics.gapCount() < minGaps || lastNeeded.IsZero() {
+		return max(minKeepAlive, breakEven)
 	}
 	idle := w.snapshot.Now.Sub(lastNeeded)
 	if statistics.worthKeeping(idle.Seconds(), idleCost, coldCost) {
-		return max(minimumKeep, idle+time.Second)
+		return max(minKeepAlive, idle+time.Second)
 	}
-	return minimumKeep
+	return minKeepAlive
 }
 
-// maxKeepSeconds bounds a keep-alive to a year.
-const maxKeepSeconds = 365 * 24 * 3600
+// maxKeepAliveSeconds is one year.
+const maxKeepAliveSeconds = 365 * 24 * 3600
 
 func (r *RowStatistics) gapCount() float64 {
 	count := 0.0
@@ -115,7 +116,7 @@
 	return count
 }
 
-// bucketBounds are the shortest and longest gap of a bucket in seconds.
+// bucketBounds returns the shortest and the longest gap of a bucket in seconds.
 func bucketBounds(bucket int) (low, high float64) {
 	if bucket == 0 {
 		return 0, 2
@@ -123,20 +124,20 @@
 	return math.Ldexp(1, bucket), math.Ldexp(1, bucket+1)
 }
 
-// longer returns how many gaps of a bucket are longer than idle seconds.
-func (r *RowStatistics) longer(bucket int, idle float64) float64 {
+// gapsLongerThan estimates how many gaps of a bucket are longer than idle seconds.
+func (r *RowStatistics) gapsLongerThan(bucket int, idle float64) float64 {
 	low, high := bucketBounds(bucket)
 	share := (high - max(low, idle)) / (high - low)
 	return float64(r.Gaps[bucket]) * max(0, share)
 }
 
-// worthKeeping reports whether there is a time to keep the replica, having
-// idled already, whose expected cost is below that of unloading it now. One
-// more gap without end stands for what was not seen yet.
+// worthKeeping reports whether a replica that has been idle for some seconds can be kept for
+// a time at a lower expected cost than that of unloading it now. One gap without an end is
+// added to the recorded ones, for gaps longer than any observed.
 func (r *RowStatistics) worthKeeping(idle, idleCost, coldCost float64) bool {
 	survivors := 1.0
 	for bucket := range r.Gaps {
-		survivors += r.longer(bucket, idle)
+		survivors += r.gapsLongerThan(bucket, idle)
 	}
 	unloadNow := coldCost * (survivors - 1)
 	remaining, idled := survivors, 0.0
@@ -146,7 +147,7 @@
 			continue
 		}
 		width := high - max(low, idle)
-		ended := r.longer(bucket, idle)
+		ended := r.gapsLongerThan(bucket, idle)
 		idled += (remaining - ended/2) * width
 		remaining -= ended
 		if idled*idleCost+coldCost*(remaining-1) < unloadNow {
@@ -156,18 +157,19 @@
 	return false
 }
 
-// useWithin estimates the probability that the row is used within a horizon,
-// having been idle for some time.
-func (r *RowStatistics) useWithin(idle, horizon float64) float64 {
-	survivors, beyond := 1.0, 1.0
+// useProbability estimates the probability that the row is used within the horizon, given
+// how long it has been idle. Both are in seconds.
+func (r *RowStatistics) useProbability(idle, horizon float64) float64 {
+	survivors, survivorsAtHorizon := 1.0, 1.0
 	for bucket := range r.Gaps {
-		survivors += r.longer(bucket, idle)
-		beyond += r.longer(bucket, idle+horizon)
+		survivors += r.gapsLongerThan(bucket, idle)
+		survivorsAtHorizon += r.gapsLongerThan(bucket, idle+horizon)
 	}
-	return 1 - beyond/survivors
+	return 1 - survivorsAtHorizon/survivors
 }
 
-// leastRecentlyUsed lets the replica go first whose row was used longest ago.
+// leastRecentlyUsed is the victim cost that evicts the replica of the least recently used
+// row first.
 func leastRecentlyUsed(w *workspace, _ int, replica *Replica, i int) float64 {
 	lastUsed := replica.Since
 	if statistics := w.snapshot.Statistics.Row(w.snapshot.Rows[i].Name); statistics != nil {
@@ -176,8 +178,8 @@
 	return -w.snapshot.Now.Sub(lastUsed).Seconds()
 }
 
-// coldStartCost is the expected cold-start time that unloading causes, per
-// gigabyte of memory given back.
+// coldStartCost is the victim cost in expected seconds of cold starts, weighted by the row's
+// weight and priority, per gigabyte of freed memory.
 func coldStartCost(w *workspace, _ int, replica *Replica, i int) float64 {
 	row := &w.snapshot.Rows[i]
 	idle := w.snapshot.Now.Sub(replica.Since).Seconds()
@@ -185,14 +187,14 @@
 	statistics := w.snapshot.Statistics.Row(row.Name)
 	if statistics != nil {
 		idle = max(0, w.snapshot.Now.Sub(statistics.LastUsed).Seconds())
-		probability = statistics.useWithin(idle, victimHorizon.Seconds())
+		probability = statistics.useProbability(idle, victimHorizon.Seconds())
 	}
-	// Recent use speaks for use soon, also without a learned distribution.
+	// Recent use makes further use likely, also without recorded gaps.
 	probability = max(probability, 1/(1+idle/victimHorizon.Seconds()))
-	if w.foreseen(i) {
+	if w.isExpected(i) {
 		probability = 1
 	}
 	weight := float64(max(1, row.Weight)) * float64(1+row.Priority)
 	gigabytes := max(0.001, float64(replica.memory())/gigabyte)
-	return probability * w.coldSeconds(i) * weight / gigabytes
+	return probability * w.coldStartSeconds(i) * weight / gigabytes
 }
--- a/internal/planner/desired.go
+++ b/internal/planner/desired.go
@@ -7,7 +7,8 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// NeededReplicas is how many replicas a load of requests needs at a batch size.
+// NeededReplicas returns how many replicas a number of requests needs at a batch size. A
+// batch size of 0 or less means the default of 8.
 func NeededReplicas(load, batch int) int {
 	if batch <= 0 {
 		batch = defaultBatch
@@ -15,68 +16,69 @@
 	return (load + batch - 1) / batch
 }
 
-// decideDesired sets every base model's desired number of replicas.
-func (w *workspace) decideDesired() {
+// setDesired sets the desired number of replicas of every base model.
+func (w *workspace) setDesired() {
 	batch := w.batch()
 	for i := range w.rows {
 		if w.snapshot.Rows[i].Kind == table.KindModel {
-			w.decideRow(i, batch)
+			w.setDesiredOfRow(i, batch)
 		}
 	}
-	w.wantRoomForAdapters()
-	if w.policy.foresee {
-		w.foreseeOpenings()
+	w.scaleUpForAdapters()
+	if w.policy.loadAhead {
+		w.loadAheadOfSessions()
 	}
 }
 
-func (w *workspace) decideRow(i, batch int) {
+func (w *workspace) setDesiredOfRow(i, batch int) {
 	row, work := &w.snapshot.Rows[i], &w.rows[i]
 	switch {
 	case row.Max <= 0:
 		work.refused = RefusedNoReplicas
 		return
-	case w.largest > 0 && row.MemoryBytes > w.largest:
+	case w.largestMemory > 0 && row.MemoryBytes > w.largestMemory:
 		work.refused = RefusedTooLarge
 		return
 	}
 	needed := NeededReplicas(work.demand.Load(), batch)
-	work.want(max(row.Min, work.adapterMin), ReasonMinimum)
+	work.raiseDesired(max(row.Min, work.adapterMin), ReasonMinimum)
 	if w.policy.pinAll {
-		work.want(row.Max, ReasonPinned)
+		work.raiseDesired(row.Max, ReasonPinned)
 	}
 	reason := ReasonScaleUp
 	if work.current+work.outdated == 0 {
 		reason = ReasonWaiting
 	}
-	work.want(w.keptReplicas(i), ReasonNeededAgain)
-	work.want(needed, reason)
+	work.raiseDesired(w.replicasKeptAlive(i), ReasonNeededAgain)
+	work.raiseDesired(needed, reason)
 	work.desired = min(work.desired, row.Max)
 }
 
-// want raises the desired number.
-func (r *rowWork) want(count int, reason Reason) {
+// raiseDesired raises the desired number of replicas to count, if that is higher.
+func (r *rowState) raiseDesired(count int, reason Reason) {
 	if count > r.desired {
 		r.desired = count
 		r.reason = reason
 	}
 }
 
-// keptReplicas is how many replicas stay because they were needed lately. They
-// are never loaded for that reason alone.
-func (w *workspace) keptReplicas(i int) int {
+// replicasKeptAlive returns how many of the present replicas stay because they were needed
+// recently. None is loaded for that reason alone.
+func (w *workspace) replicasKeptAlive(i int) int {
 	held := w.rows[i].current + w.rows[i].outdated
 	statistics := w.snapshot.Statistics.Row(w.snapshot.Rows[i].Name)
 	kept := 0
 	for k := range held {
-		// Without earlier use a replica's own age counts.
+		// Without later use, the keep-alive runs from the last phase change of a current
+		// replica.
 		lastNeeded := w.rows[i].newestSince
 		if statistics != nil && k < len(statistics.Needed) && statistics.Needed[k].After(lastNeeded) {
 			lastNeeded = statistics.Needed[k]
 		}
 		idle := w.snapshot.Now.Sub(lastNeeded)
 		keep := w.policy.keepAlive(w, i, lastNeeded)
-		if k > 0 && w.policy.keepExtra > 0 {
-			keep = min(keep, w.policy.keepExtra)
+		if k > 0 && w.policy.maxExtraKeepAlive > 0 {
+			keep = min(keep, w.policy.maxExtraKeepAlive)
 		}
 		if idle >= keep {
 			break
@@ -86,7 +88,7 @@
 	return kept
 }
 
-// batch is the usual batch size of the cell's servers.
+// batch returns the batch size of the cell's first server that reports one.
 func (w *workspace) batch() int {
 	for i := range w.snapshot.Servers {
 		if w.snapshot.Servers[i].MaxBatch > 0 {
@@ -104,6 +106,8 @@
 	return largest
 }
 
-func keepForever(*workspace, int, time.Time) time.Duration { return math.MaxInt64 }
+func unlimitedKeepAlive(*workspace, int, time.Time) time.Duration { return math.MaxInt64 }
 
-func keepFixed(w *workspace, _ int, _ time.Time) time.Duration { return w.policy.parameters.KeepAlive }
+func fixedKeepAlive(w *workspace, _ int, _ time.Time) time.Duration {
+	return w.policy.parameters.KeepAlive
+}
--- a/internal/planner/draw_test.go
+++ b/internal/planner/draw_test.go
@@ -11,7 +11,7 @@
 	"github.com/hatchplank/hatchplank/internal/planner"
 )
 
-// drawSnapshot draws a cell in any state, also states that break the limits.
+// drawSnapshot draws a cell in an arbitrary state, including states that break the limits.
 func drawSnapshot(t *rapid.T) *planner.Snapshot {
 	random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 	snapshot := &planner.Snapshot{Now: start, Statistics: planner.NewStatistics(), UnknownServers: max(0, random.IntN(6)-3)}
@@ -47,9 +47,9 @@
 }
 
 func drawServer(random *rand.Rand, i, models int) planner.Server {
-	made := server(fmt.Sprintf("lm-%d", i), int64(20+random.IntN(80))*gigabyte)
-	made.Usable = random.IntN(5) > 0
-	made.Leaving = random.IntN(5) == 0
+	result := server(fmt.Sprintf("lm-%d", i), int64(20+random.IntN(80))*gigabyte)
+	result.Usable = random.IntN(5) > 0
+	result.Leaving = random.IntN(5) == 0
 	for m := range models + 1 {
 		if random.IntN(3) > 0 {
 			continue
@@ -58,15 +58,15 @@
 		replica.Phase = outside.ReplicaPhase(random.IntN(3))
 		replica.Draining = random.IntN(4) == 0
 		replica.Running = random.IntN(2)
-		if made.CommittedBytes+replica.MemoryBytes <= made.MemoryBytes {
-			made.CommittedBytes += replica.MemoryBytes
-			made.Replicas = append(made.Replicas, replica)
+		if result.CommittedBytes+replica.MemoryBytes <= result.MemoryBytes {
+			result.CommittedBytes += replica.MemoryBytes
+			result.Replicas = append(result.Replicas, replica)
 		}
 	}
-	return made
+	return result
 }
 
-// checkPlan verifies a plan without the help of the Verifier.
+// checkPlan checks a plan independently of the Verifier.
 func checkPlan(t *rapid.T, snapshot *planner.Snapshot, plan planner.Plan) {
 	held, committed, slots := map[string]int{}, map[outside.ServerID]int64{}, map[string]bool{}
 	rows, servers := map[string]planner.Row{}, map[outside.ServerID]planner.Server{}
@@ -102,9 +102,9 @@
 		case held[name]+snapshot.UnknownServers > rows[name].Max:
 			t.Fatalf("%d of %s with %d unknown, allowed %d", held[name], name, snapshot.UnknownServers, rows[name].Max)
 		case committed[decision.Server] > target.MemoryBytes:
-			t.Fatalf("memory of %s: %d of %d", decision.Server, committed[decision.Server], target.MemoryBytes)
+			t.Fatalf("%s: %d bytes committed of %d", decision.Server, committed[decision.Server], target.MemoryBytes)
 		case decision.Action == planner.ActionLoad && slots[slot]:
-			t.Fatalf("slot %s twice", slot)
+			t.Fatalf("slot %s is used twice", slot)
 		}
 		if decision.Action == planner.ActionLoad {
 			slots[slot] = true
--- a/internal/planner/keep_test.go
+++ b/internal/planner/keep_alive_test.go
@@ -9,7 +9,7 @@
 	"github.com/hatchplank/hatchplank/internal/planner"
 )
 
-var _ = DescribeTable("Of two replicas that were needed some time ago", func(policy string, idle time.Duration, unloaded int) {
+var _ = DescribeTable("Two replicas that were needed some time ago", func(policy string, idle time.Duration, unloaded int) {
 	statistics := planner.NewStatistics()
 	statistics.Observe(start.Add(-idle), "a", "group-a", 2)
 	plan := mustPolicy(policy).Plan(&planner.Snapshot{
@@ -23,9 +23,9 @@
 		Expect(decision.Reason).To(Equal(planner.ReasonIdle))
 	}
 },
-	Entry("both stay for a while", planner.PolicyHatchplank, 30*time.Second, 0),
-	Entry("the second goes first", planner.PolicyHatchplank, 90*time.Second, 1),
-	Entry("none stays beyond the longest keep-alive", planner.PolicyHatchplank, 11*time.Minute, 2),
-	Entry("fixed-keep-alive keeps both", planner.PolicyFixedKeepAlive, 9*time.Minute, 0),
-	Entry("fixed-keep-alive unloads both", planner.PolicyFixedKeepAlive, 11*time.Minute, 2),
+	Entry("are both kept for a while", planner.PolicyHatchplank, 30*time.Second, 0),
+	Entry("lose the second replica first", planner.PolicyHatchplank, 90*time.Second, 1),
+	Entry("are not kept beyond the longest keep-alive", planner.PolicyHatchplank, 11*time.Minute, 2),
+	Entry("are both kept by fixed-keep-alive until its keep-alive ends", planner.PolicyFixedKeepAlive, 9*time.Minute, 0),
+	Entry("are both unloaded by fixed-keep-alive after it", planner.PolicyFixedKeepAlive, 11*time.Minute, 2),
 )
--- a/internal/planner/loads.go
+++ b/internal/planner/loads.go
@@ -8,18 +8,18 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// candidate is one replica that a row lacks.
+// candidate is one missing replica of a row.
 type candidate struct {
 	row int
-	// cold: nothing serves the row and requests wait.
+	// cold is set if requests wait and no replica of the row is ready.
 	cold    bool
 	waiting bool
-	// seconds of its load from the fastest source in the cell.
+	// seconds is the duration of its load from the fastest source in the cell.
 	seconds float64
 	urgency float64
 }
 
-// loadModels places the replicas that rows lack, most urgent first.
+// loadModels places the missing replicas in the policy's order.
 func (w *workspace) loadModels() {
 	candidates := w.candidates()
 	sort.SliceStable(candidates, func(a, b int) bool {
@@ -39,25 +39,26 @@
 		if w.snapshot.Rows[i].Kind != table.KindModel {
 			continue
 		}
-		made := candidate{row: i}
+		replica := candidate{row: i}
 		demand := &w.rows[i].demand
-		made.waiting = demand.Waiting > 0
-		made.cold = made.waiting && w.rows[i].ready+w.rows[i].outdatedReady == 0
-		count := w.missing(i)
+		replica.waiting = demand.Waiting > 0
+		replica.cold = replica.waiting && w.rows[i].ready+w.rows[i].outdatedReady == 0
+		count := w.missingReplicas(i)
 		if count > 0 {
-			made.seconds = w.coldSeconds(i)
-			made.urgency = w.urgency(i, made.seconds)
+			replica.seconds = w.coldStartSeconds(i)
+			replica.urgency = w.urgency(i, replica.seconds)
 		}
 		for range count {
-			candidates = append(candidates, made)
-			made.cold = false
+			candidates = append(candidates, replica)
+			replica.cold = false
 		}
 	}
 	return candidates
 }
 
-// missing is how many replicas of the row may and should be loaded.
-func (w *workspace) missing(i int) int {
+// missingReplicas returns how many more replicas of the row should be loaded within its
+// maximum.
+func (w *workspace) missingReplicas(i int) int {
 	row, work := &w.snapshot.Rows[i], &w.rows[i]
 	missing := work.desired - work.current
 	if work.outdated > 0 && work.current+work.outdated >= work.desired {
@@ -68,9 +69,9 @@
 	return max(0, min(missing, allowed))
 }
 
-// urgency weighs the requests that wait against the seconds of the load, so
-// that short loads go before long ones. For a row that nobody waits for it is
-// the wait that an early load is expected to spare.
+// urgency relates the waiting requests to the duration of the load, so that short loads go
+// before long ones. For a row without waiting requests it is the expected wait in seconds
+// that an early load avoids.
 func (w *workspace) urgency(i int, seconds float64) float64 {
 	row, demand := &w.snapshot.Rows[i], &w.rows[i].demand
 	if demand.Waiting == 0 {
@@ -87,7 +88,7 @@
 	return urgency
 }
 
-// byOldestWait is first come, first served.
+// byOldestWait puts cold rows first, then orders by arrival of the first waiting request.
 func byOldestWait(w *workspace, a, b *candidate) bool {
 	if a.cold != b.cold {
 		return a.cold
@@ -99,7 +100,7 @@
 	return waitA.Before(waitB)
 }
 
-// byUrgency puts rows without any replica first, then the most urgent.
+// byUrgency puts cold rows first, then rows with waiting requests, then the most urgent.
 func byUrgency(_ *workspace, a, b *candidate) bool {
 	if a.cold != b.cold {
 		return a.cold
@@ -110,15 +111,15 @@
 	return a.urgency > b.urgency
 }
 
-// placeCandidate loads the replica, or makes room for it, or leaves it queued.
-// It reports whether the load is decided.
+// placeCandidate loads the replica, evicts others for it, or leaves it queued. It reports
+// whether the load is decided.
 func (w *workspace) placeCandidate(c *candidate, queued int) bool {
 	row, work := &w.snapshot.Rows[c.row], &w.rows[c.row]
-	need := row.MemoryBytes + w.adapterNeed(c.row)
-	if w.largest > 0 {
-		need = max(row.MemoryBytes, min(need, w.largest))
+	need := row.MemoryBytes + w.waitingAdapterMemory(c.row)
+	if w.largestMemory > 0 {
+		need = max(row.MemoryBytes, min(need, w.largestMemory))
 	}
-	choice, found := w.choose(c, need)
+	choice, found := w.chooseServer(c, need)
 	if !found {
 		return false
 	}
@@ -126,14 +127,14 @@
 		w.evict(choice.server, victim, row.Name)
 	}
 	target := &w.servers[choice.server]
-	fits := target.free >= row.MemoryBytes && len(choice.victims) == 0 && !choice.waits
+	startsNow := target.free >= row.MemoryBytes && len(choice.victims) == 0 && !choice.waitsForUnload
 	target.free -= need
 	target.placed = append(target.placed, row.Name)
 	readyAt := w.snapshot.Now.Add(seconds(choice.seconds))
-	if !fits || (choice.source == outside.SourceRemote && w.remoteStarts <= 0) {
+	if !startsNow || (choice.source == outside.SourceRemote && w.remoteStarts <= 0) {
 		work.readyAt = earlier(work.readyAt, readyAt.Add(w.queueDelay(queued)))
 		if c.cold && choice.source == outside.SourceRemote && w.policy.limitRemote {
-			// Rows that are served already don't take the store's place for it.
+			// The start is reserved, so that rows that are served already don't take it.
 			w.remoteStarts--
 		}
 		return false
@@ -142,14 +143,14 @@
 		w.remoteStarts--
 	}
 	target.free += need - row.MemoryBytes
-	target.reserved += w.adapterTotals[c.row]
+	target.reserved += w.adapterMemory[c.row]
 	w.load(c.row, choice, readyAt)
 	return true
 }
 
 func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 
-// queueDelay estimates how long a load waits behind others for the store.
+// queueDelay estimates how long a load waits for the store behind queued others.
 func (w *workspace) queueDelay(queued int) time.Duration {
 	if rate := w.snapshot.Store.LoadsPerSecond; rate > 0 {
 		return seconds(float64(queued+1) / rate)
@@ -181,8 +182,8 @@
 	w.loads = append(w.loads, decidedLoad{row: i, server: choice.server})
 }
 
-// freeSlot takes the lowest slot not held; while servers are unknown the
-// highest, since what they hold was loaded into the lowest.
+// freeSlot returns the lowest slot that is not held. While the state of servers is unknown
+// it returns the highest, since replicas on those servers were loaded into the lowest.
 func (w *workspace) freeSlot(i int) outside.SlotID {
 	row, work := &w.snapshot.Rows[i], &w.rows[i]
 	if work.slots == nil {
--- a/internal/planner/order_test.go
+++ b/internal/planner/order_test.go
@@ -10,15 +10,15 @@
 	"github.com/hatchplank/hatchplank/internal/planner"
 )
 
-// waitingFor sets how long the row's first request has waited.
+// waitingFor adds a request to the row that has waited for age.
 func waitingFor(row planner.Row, age time.Duration) planner.Row {
 	row = waiting(row, 1)
 	row.Demand.OldestWait = start.Add(-age)
 	return row
 }
 
-// oneStart is a store that lets one load begin now.
-func oneStart() planner.Store {
+// oneStartStore returns a store that allows one load to start now.
+func oneStartStore() planner.Store {
 	return planner.Store{Known: true, Starts: 1, WeightStoreStatus: outside.WeightStoreStatus{FullSpeedLoads: 1}}
 }
 
@@ -33,16 +33,16 @@
 }
 
 var _ = DescribeTable("The store's next start goes to", func(rows []planner.Row, servers []planner.Server, expected ...string) {
-	snapshot := &planner.Snapshot{Now: start, Rows: rows, Servers: servers, Store: oneStart()}
+	snapshot := &planner.Snapshot{Now: start, Rows: rows, Servers: servers, Store: oneStartStore()}
 	Expect(loadedModels(mustPolicy(planner.PolicyHatchplank).Plan(snapshot))).To(ConsistOf(expected))
 },
-	Entry("what has waited longest", []planner.Row{
+	Entry("the row with the longest wait", []planner.Row{
 		waitingFor(model("a", 1, 10*gigabyte), time.Second), waitingFor(model("b", 1, 10*gigabyte), time.Minute),
 	}, []planner.Server{server("lm-1", 100*gigabyte)}, "b"),
-	Entry("what loads fastest among equals", []planner.Row{
+	Entry("the fastest load among equal waits", []planner.Row{
 		waitingFor(model("a", 1, 10*gigabyte), time.Second), waitingFor(model("b", 1, 80*gigabyte), time.Second),
 	}, []planner.Server{server("lm-1", 100*gigabyte)}, "a"),
-	Entry("no served row while a cold one waits for room", []planner.Row{
+	Entry("no row with a replica while a cold one waits for memory", []planner.Row{
 		running(waitingFor(model("a", 2, 10*gigabyte), time.Minute), 9), waitingFor(model("b", 1, 60*gigabyte), time.Second),
 		model("c", 1, 70*gigabyte),
 	}, []planner.Server{
@@ -51,7 +51,7 @@
 	}),
 )
 
-// running adds requests that run already, to more than a batch.
+// running adds running requests, so that the row needs more than a batch.
 func running(row planner.Row, requests int) planner.Row {
 	row.Demand.Running = requests
 	return row
--- a/internal/planner/placement.go
+++ b/internal/planner/placement.go
@@ -7,33 +7,35 @@
 )
 
 const (
-	// roomDelaySeconds is added to a load that has to wait for an unload.
-	roomDelaySeconds = 2
-	// crowdedSeconds is added to a load that leaves too little room for the
-	// adapters on its server.
-	crowdedSeconds = 10
-	// busyVictimSeconds is added when a busy replica would have to give way.
-	busyVictimSeconds = 600
+	// unloadDelaySeconds is added to a load that has to wait for an unload.
+	unloadDelaySeconds = 2
+	// adapterCapacityPenaltySeconds is added to a load that leaves too little memory for
+	// the adapters on its server.
+	adapterCapacityPenaltySeconds = 10
+	// busyVictimPenaltySeconds is added if a busy replica would have to be evicted.
+	busyVictimPenaltySeconds = 600
 )
 
-// placement is a server for a candidate.
+// placement is an option for a candidate: a server, and what the load takes there.
 type placement struct {
-	server  int
-	source  outside.CheckpointSource
+	server int
+	source outside.CheckpointSource
+	// seconds until the replica is ready.
 	seconds float64
 	cost    float64
-	// waits for memory that unloads under way give back.
-	waits   bool
-	victims []placedReplica
-	// left is the free memory after the load.
-	left int64
+	// waitsForUnload is set if the load has to wait for memory that unloads under way free.
+	waitsForUnload bool
+	victims        []placedReplica
+	// freeAfterLoad is the server's free memory in bytes after the load.
+	freeAfterLoad int64
 }
 
-// choose returns the cheapest server for the candidate.
-func (w *workspace) choose(c *candidate, need int64) (placement, bool) {
+// chooseServer returns the placement with the lowest cost for a candidate that needs some
+// bytes of memory.
+func (w *workspace) chooseServer(c *candidate, need int64) (placement, bool) {
 	best, found := placement{}, false
 	for i := range w.snapshot.Servers {
-		if !w.possible(i, c.row) {
+		if !w.eligible(i, c.row) {
 			continue
 		}
 		option, possible := w.evaluate(c, i, need)
@@ -49,14 +51,14 @@
 		return a.cost < b.cost
 	}
 	if w.policy.sourceAware {
-		// The tightest fit leaves whole servers free.
-		return a.left < b.left
+		// Best fit: it leaves whole servers free for large models.
+		return a.freeAfterLoad < b.freeAfterLoad
 	}
-	return a.left > b.left
+	return a.freeAfterLoad > b.freeAfterLoad
 }
 
-// possible reports whether the server may be given a replica of the row.
-func (w *workspace) possible(i, row int) bool {
+// eligible reports whether the row may be loaded on the server, memory in use aside.
+func (w *workspace) eligible(i, row int) bool {
 	server := &w.snapshot.Servers[i]
 	if !server.Usable || server.Leaving {
 		return false
@@ -73,7 +75,8 @@
 	return !w.backedOff(server, name)
 }
 
-// backedOff reports whether a failed load forbids the row on the server yet.
+// backedOff reports whether a backoff after a failed load still forbids the row on the
+// server.
 func (w *workspace) backedOff(server *Server, name string) bool {
 	for _, backoff := range server.Backoffs {
 		if backoff.Model == name && w.snapshot.Now.Before(backoff.Until) {
@@ -94,31 +97,31 @@
 		option.cost = option.seconds
 	}
 	work := &w.servers[i]
-	option.left = work.free - need
-	if option.left >= 0 {
-		if option.left < work.reserved+w.adapterTotals[c.row]-(need-row.MemoryBytes) {
-			option.cost += crowdedSeconds
+	option.freeAfterLoad = work.free - need
+	if option.freeAfterLoad >= 0 {
+		if option.freeAfterLoad < work.reserved+w.adapterMemory[c.row]-(need-row.MemoryBytes) {
+			option.cost += adapterCapacityPenaltySeconds
 		}
 		return option, true
 	}
-	option.cost += roomDelaySeconds
-	option.seconds += roomDelaySeconds
+	option.cost += unloadDelaySeconds
+	option.seconds += unloadDelaySeconds
 	if work.free+work.freeing >= need {
-		option.waits = true
+		option.waitsForUnload = true
 		return option, true
 	}
 	return w.withVictims(c, option, need-work.free-work.freeing)
 }
 
-// withVictims completes a placement by replicas that give way: idle ones, and
-// if these are not enough for a cold row, busy ones too.
+// withVictims adds the replicas to evict for a placement that is short of some bytes: idle
+// ones and, if these are not enough for a cold row, busy ones too.
 func (w *workspace) withVictims(c *candidate, option placement, short int64) (placement, bool) {
 	victims := w.victims(c, option.server, false)
-	if total(victims) < short && c.cold {
+	if totalMemory(victims) < short && c.cold {
 		victims = append(victims, w.victims(c, option.server, true)...)
-		option.cost += busyVictimSeconds
+		option.cost += busyVictimPenaltySeconds
 	}
-	worth := w.foreseenWorth(c.row)
+	worth := w.maxVictimCost(c.row)
 	cost := 0.0
 	for _, victim := range victims {
 		if short <= 0 {
@@ -139,7 +142,7 @@
 	return option, true
 }
 
-func total(victims []placedReplica) int64 {
+func totalMemory(victims []placedReplica) int64 {
 	sum := int64(0)
 	for _, victim := range victims {
 		sum += victim.replica.memory()
@@ -147,8 +150,8 @@
 	return sum
 }
 
-// victims of a server that may give way to the candidate, cheapest first;
-// either the idle or the busy ones.
+// victims returns the server's replicas that may be evicted for the candidate, the cheapest
+// first: either the idle or the busy ones.
 func (w *workspace) victims(c *candidate, i int, busy bool) []placedReplica {
 	server := &w.snapshot.Servers[i]
 	var victims []placedReplica
@@ -158,7 +161,7 @@
 		if !known || at == c.row || replica.Draining || replica.Phase != outside.ReplicaReady || w.evicted[replica] {
 			continue
 		}
-		if w.busy(at, replica) != busy || !w.mayGive(c, at, replica, busy) {
+		if w.busy(at, replica) != busy || !w.canSpare(c, at, replica, busy) {
 			continue
 		}
 		victims = append(victims, placedReplica{server: i, replica: replica, cost: w.policy.victimCost(w, i, replica, at)})
@@ -167,14 +170,16 @@
 	return victims
 }
 
+// busy reports whether the replica has running requests or its row has requests that may
+// need it.
 func (w *workspace) busy(row int, replica *Replica) bool {
 	demand := &w.rows[row].demand
-	alone := w.rows[row].current+w.rows[row].outdated <= 1
-	return replica.Running > 0 || demand.Waiting > 0 || (alone && demand.Running > 0)
+	onlyReplica := w.rows[row].current+w.rows[row].outdated <= 1
+	return replica.Running > 0 || demand.Waiting > 0 || (onlyReplica && demand.Running > 0)
 }
 
-// mayGive reports whether a row can spare the replica for the candidate.
-func (w *workspace) mayGive(c *candidate, victim int, replica *Replica, busy bool) bool {
+// canSpare reports whether a row can spare the replica for the candidate.
+func (w *workspace) canSpare(c *candidate, victim int, replica *Replica, busy bool) bool {
 	work := &w.rows[victim]
 	live := work.current + work.outdated
 	if live <= w.snapshot.Rows[victim].Min || w.policy.pinAll && !c.cold {
@@ -191,12 +196,12 @@
 	return own > other || (own == other && live > 1)
 }
 
-// evict unloads a victim to make room for a row.
+// evict unloads a victim to free memory for a row.
 func (w *workspace) evict(server int, victim placedReplica, forRow string) {
 	if w.evicted == nil {
 		w.evicted = map[*Replica]bool{}
 	}
 	w.evicted[victim.replica] = true
 	w.unload(server, victim.replica, ReasonMakeRoom, forRow)
-	w.uncount(w.index[victim.replica.Model], victim.replica)
+	w.countUnload(w.index[victim.replica.Model], victim.replica)
 }
--- a/internal/planner/plan.go
+++ b/internal/planner/plan.go
@@ -19,7 +19,7 @@
 	ActionResume
 )
 
-// String returns the action's word.
+// String returns the action's name.
 func (a Action) String() string {
 	return [...]string{"load", "unload", "load_adapter", "unload_adapter", "resume"}[a]
 }
@@ -44,7 +44,7 @@
 	ReasonNeededAgain
 )
 
-// String returns the reason's word, as in logs and on the status page.
+// String returns the reason's name, as in logs and on the status page.
 func (r Reason) String() string {
 	return [...]string{
 		"waiting", "scale_up", "minimum", "pinned", "foreseen", "version_change", "server_leaving",
@@ -69,30 +69,31 @@
 	Attempt outside.AttemptID
 	// MemoryBytes to reserve and WeightBytes to fetch, for loads.
 	MemoryBytes, WeightBytes int64
-	Source                   outside.CheckpointSource
-	ExpectedReady            time.Time
-	// For is the row that needs the room when the reason is ReasonMakeRoom.
+	// Source of the weights and ExpectedReady are set for loads.
+	Source        outside.CheckpointSource
+	ExpectedReady time.Time
+	// For is the row for which memory is freed if the reason is ReasonMakeRoom.
 	For string
 }
 
-// RowPlan is what the plan means for one base model.
+// RowPlan is the plan's outcome for one base model.
 type RowPlan struct {
 	Model   string
 	Desired int
-	// ReadyAt estimates when the next replica is ready; zero: none planned.
+	// ReadyAt estimates when the next replica is ready; zero if none is planned.
 	ReadyAt time.Time
-	// Refused says why no replica can ever be loaded here; else empty.
+	// Refused is the reason why no replica can be loaded in this cell; otherwise empty.
 	Refused string
 }
 
-// Plan is an ordered list of decisions, with the outlook of each base model.
+// Plan is an ordered list of decisions, with the outcome for each base model.
 type Plan struct {
 	Decisions []Decision
 	// Rows in order of model.
 	Rows []RowPlan
 }
 
-// Reasons why a model can't be loaded in a cell at all.
+// Values of RowPlan.Refused.
 const (
 	RefusedNoReplicas = "no_replicas_allotted"
 	RefusedTooLarge   = "larger_than_any_server"
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -47,11 +47,11 @@
 }
 
 func server(id string, memory int64, replicas ...planner.Replica) planner.Server {
-	made := planner.Server{ID: outside.ServerID(id), MemoryBytes: memory, MaxBatch: 8, Usable: true, Replicas: replicas}
+	result := planner.Server{ID: outside.ServerID(id), MemoryBytes: memory, MaxBatch: 8, Usable: true, Replicas: replicas}
 	for _, replica := range replicas {
-		made.CommittedBytes += replica.MemoryBytes
+		result.CommittedBytes += replica.MemoryBytes
 	}
-	return made
+	return result
 }
 
 func ready(model, version string, slot outside.SlotID, memory int64) planner.Replica {
@@ -68,7 +68,7 @@
 
 var _ = Describe("Policies", func() {
 	for _, name := range planner.PolicyNames {
-		It(name+" keeps the rules in any state, and the verifier agrees", func() {
+		It(name+" breaks no rule in any state, and the verifier agrees", func() {
 			policy := mustPolicy(name)
 			rapid.Check(GinkgoT(), func(t *rapid.T) {
 				snapshot := drawSnapshot(t)
@@ -109,8 +109,8 @@
 	Entry("an unusable server", planner.RuleUsableServer, func(s *planner.Snapshot, _ *planner.Decision) { s.Servers[0].Usable = false }),
 	Entry("an unlisted server", planner.RuleUsableServer, func(_ *planner.Snapshot, d *planner.Decision) { d.Server = "lm-9" }),
 	Entry("a leaving server", planner.RuleStayingServer, func(s *planner.Snapshot, _ *planner.Decision) { s.Servers[0].Leaving = true }),
-	Entry("one over the maximum", planner.RuleMaxReplicas, func(s *planner.Snapshot, _ *planner.Decision) { s.Rows[0].Max = 1 }),
-	Entry("one that an unheard server may hold", planner.RuleMaxReplicas, func(s *planner.Snapshot, _ *planner.Decision) { s.UnknownServers = 1 }),
+	Entry("one replica beyond the maximum", planner.RuleMaxReplicas, func(s *planner.Snapshot, _ *planner.Decision) { s.Rows[0].Max = 1 }),
+	Entry("one replica that a server in unknown state may hold", planner.RuleMaxReplicas, func(s *planner.Snapshot, _ *planner.Decision) { s.UnknownServers = 1 }),
 	Entry("a held slot", planner.RuleFreeSlot, func(_ *planner.Snapshot, d *planner.Decision) { d.Slot = 0 }),
 	Entry("a slot outside the allotment", planner.RuleFreeSlot, func(_ *planner.Snapshot, d *planner.Decision) { d.Slot = 2 }),
 	Entry("memory beyond the total", planner.RuleMemory, func(s *planner.Snapshot, _ *planner.Decision) { s.Servers[0].CommittedBytes = 11 * gigabyte }),
@@ -120,8 +120,8 @@
 	}),
 )
 
-// word shows a decision in short.
-func word(decision planner.Decision) string {
+// summary returns a decision as a short text.
+func summary(decision planner.Decision) string {
 	name := decision.Model
 	if decision.Adapter != "" {
 		name = decision.Adapter
@@ -129,52 +129,52 @@
 	return fmt.Sprintf("%s %s on %s: %s", decision.Action, name, decision.Server, decision.Reason)
 }
 
-var _ = DescribeTable("The product policy decides", func(snapshot *planner.Snapshot, expected ...string) {
+var _ = DescribeTable("The hatchplank policy", func(snapshot *planner.Snapshot, expected ...string) {
 	snapshot.Now = start
-	var words []string
+	var decisions []string
 	for _, decision := range mustPolicy(planner.PolicyHatchplank).Plan(snapshot).Decisions {
-		words = append(words, word(decision))
+		decisions = append(decisions, summary(decision))
 	}
-	Expect(strings.Join(words, "\n")).To(Equal(strings.Join(expected, "\n")))
+	Expect(strings.Join(decisions, "\n")).To(Equal(strings.Join(expected, "\n")))
 },
-	Entry("the fastest source", &planner.Snapshot{
+	Entry("loads from the fastest source", &planner.Snapshot{
 		Rows: []planner.Row{waiting(model("a", 1, 10*gigabyte), 1)},
 		Servers: []planner.Server{
 			server("lm-1", 20*gigabyte), withCache(server("lm-2", 20*gigabyte), "a", outside.SourceDisk),
 			withCache(server("lm-3", 20*gigabyte), "a", outside.SourceMemory),
 		},
 	}, "load a on lm-3: waiting"),
-	Entry("the base together with its adapter", &planner.Snapshot{
+	Entry("loads the base model together with its adapter", &planner.Snapshot{
 		Rows:    []planner.Row{model("a", 1, 10*gigabyte), waiting(adapter("style", "a", 1, gigabyte), 2)},
 		Servers: []planner.Server{server("lm-1", 20*gigabyte)},
 	}, "load a on lm-1: waiting", "load_adapter style on lm-1: waiting"),
-	Entry("room for a waiting row", &planner.Snapshot{
+	Entry("evicts an idle row for a waiting one", &planner.Snapshot{
 		Rows:    []planner.Row{waiting(model("a", 1, 15*gigabyte), 1), model("b", 1, 10*gigabyte)},
-		Servers: []planner.Server{server("lm-1", 20*gigabyte, fresh(ready("b", "1", 0, 10*gigabyte)))},
+		Servers: []planner.Server{server("lm-1", 20*gigabyte, recentlyReady(ready("b", "1", 0, 10*gigabyte)))},
 	}, "unload b on lm-1: make_room"),
-	Entry("nothing while the store is full", &planner.Snapshot{
+	Entry("starts no load while the store has its full number of loads", &planner.Snapshot{
 		Rows:    []planner.Row{waiting(model("a", 1, 10*gigabyte), 1)},
 		Servers: []planner.Server{server("lm-1", 20*gigabyte)},
 		Store:   planner.Store{Known: true, Starts: 3, WeightStoreStatus: outside.WeightStoreStatus{Active: 6, FullSpeedLoads: 6}},
 	}),
-	Entry("to leave a leaving server at once", &planner.Snapshot{
+	Entry("replaces a replica on a leaving server at once", &planner.Snapshot{
 		Rows:    []planner.Row{withMin(model("a", 2, 10*gigabyte), 1)},
 		Servers: []planner.Server{leaving(server("lm-1", 20*gigabyte, ready("a", "1", 0, 10*gigabyte))), server("lm-2", 20*gigabyte)},
 	}, "unload a on lm-1: server_leaving", "load a on lm-2: replace_leaving"),
-	Entry("the new version before the old one goes", &planner.Snapshot{
+	Entry("loads the new version before it unloads the old one", &planner.Snapshot{
 		Rows:    []planner.Row{withMin(model("a", 2, 10*gigabyte), 1)},
 		Servers: []planner.Server{server("lm-1", 20*gigabyte, ready("a", "0", 0, 10*gigabyte)), server("lm-2", 20*gigabyte)},
 	}, "load a on lm-2: version_change"),
-	Entry("the old version to go once the new one serves", &planner.Snapshot{
+	Entry("unloads the old version once the new one is ready", &planner.Snapshot{
 		Rows: []planner.Row{withMin(model("a", 2, 10*gigabyte), 1)},
 		Servers: []planner.Server{
 			server("lm-1", 20*gigabyte, ready("a", "0", 0, 10*gigabyte)), server("lm-2", 20*gigabyte, ready("a", "1", 1, 10*gigabyte)),
 		},
 	}, "unload a on lm-1: version_change"),
-	Entry("to unload what the table no longer has", &planner.Snapshot{
+	Entry("unloads a model whose row was removed", &planner.Snapshot{
 		Servers: []planner.Server{server("lm-1", 20*gigabyte, ready("a", "1", 0, 10*gigabyte))},
 	}, "unload a on lm-1: row_removed"),
-	Entry("to go down to a lowered maximum", &planner.Snapshot{
+	Entry("scales down to a lowered maximum", &planner.Snapshot{
 		Rows: []planner.Row{withMin(model("a", 1, 10*gigabyte), 1)},
 		Servers: []planner.Server{
 			server("lm-1", 20*gigabyte, ready("a", "1", 0, 10*gigabyte)), server("lm-2", 20*gigabyte, ready("a", "1", 1, 10*gigabyte)),
@@ -187,7 +187,7 @@
 	return server
 }
 
-func fresh(replica planner.Replica) planner.Replica {
+func recentlyReady(replica planner.Replica) planner.Replica {
 	replica.Since = start.Add(-time.Second)
 	return replica
 }
@@ -203,8 +203,8 @@
 }
 
 var _ = Describe("Openings", func() {
-	// Three rounds in which five models were called; then three of them again.
-	It("load the siblings ahead of their first call", func() {
+	// In each of three rounds the same five models are called; then three of them again.
+	It("load the tenant's other models before their first call", func() {
 		snapshot := &planner.Snapshot{Now: start, Statistics: planner.NewStatistics()}
 		for round := range 3 {
 			at := start.Add(time.Duration(round-4) * 40 * 24 * time.Hour).Add(time.Duration(round*round) * 24 * time.Hour)
@@ -234,7 +234,7 @@
 })
 
 var _ = Describe("Statistics", func() {
-	It("survive encoding and restore what was not observed anew", func() {
+	It("are equal after encoding and decoding, and restored where nothing was observed yet", func() {
 		before := planner.NewStatistics()
 		for k := range 4 {
 			before.Observe(start.Add(time.Duration(k)*24*time.Hour), "a", "group-a", 2)
@@ -244,9 +244,9 @@
 		Expect(err).NotTo(HaveOccurred())
 		decoded, err := planner.DecodeStatistics(data)
 		Expect(err).NotTo(HaveOccurred())
-		again, err := decoded.Encode()
+		reencoded, err := decoded.Encode()
 		Expect(err).NotTo(HaveOccurred())
-		Expect(again).To(Equal(data))
+		Expect(reencoded).To(Equal(data))
 		Expect(decoded.Row("a")).To(Equal(before.Row("a")))
 		Expect(decoded.Tenant("group-a")).To(Equal(before.Tenant("group-a")))
 		after := planner.NewStatistics()
@@ -256,7 +256,7 @@
 		Expect(after.Row("b").LastUsed).To(Equal(start))
 	})
 
-	It("refuse what is no encoding", func() {
+	It("can't be decoded from other data", func() {
 		_, err := planner.DecodeStatistics([]byte("not gob"))
 		Expect(err).To(HaveOccurred())
 	})
--- a/internal/planner/policy.go
+++ b/internal/planner/policy.go
@@ -27,58 +27,60 @@
 
 const (
 	gigabyte = 1e9
-	// defaultBatch is assumed of a server that did not tell its own.
+	// defaultBatch is the batch size that is assumed if no server reports one.
 	defaultBatch = 8
 )
 
-// Parameters of the policies. Zero values are replaced by the defaults, but
-// for ColdStartWeight, whose 0 has a meaning.
+// Parameters of the policies. Zero values are replaced by the defaults, except for
+// ColdStartWeight, whose zero is valid.
 type Parameters struct {
-	// ColdStartWeight from 0 (only idle hours count) to 1 (only cold starts).
+	// ColdStartWeight from 0 (only idle time counts) to 1 (only cold starts count).
 	ColdStartWeight float64
 	// ColdSecondWorth is how many idle seconds of a whole server one second of a
 	// cold start is worth at a ColdStartWeight of 0.5.
 	ColdSecondWorth float64
-	// KeepAlive of fixed-keep-alive, and the longest of hatchplank.
+	// KeepAlive is the keep-alive of fixed-keep-alive, and the longest of hatchplank.
 	KeepAlive time.Duration
-	// LoadOverhead is the part of a load that does not depend on its size.
+	// LoadOverhead is the part of a load's duration that does not depend on its size.
 	LoadOverhead time.Duration
-	// BytesPerSecond read from memory, disk and remote store, until measured.
+	// BytesPerSecond is the assumed rate of loads from memory, disk and the remote store, in
+	// this order, until it is measured.
 	BytesPerSecond [3]float64
-	// MinimumResidency protects a busy replica from giving way to another row.
+	// MinimumResidency is how long a busy replica is protected from eviction after it became
+	// ready.
 	MinimumResidency time.Duration
-	// OpeningWindow and OpeningRows: an opening is detected when that many rows
-	// of a tenant were called within the window.
-	OpeningWindow time.Duration
-	OpeningRows   int
-	// OpeningHold is how long a replica loaded ahead waits for its first call.
-	OpeningHold time.Duration
+	// SessionStartWindow and SessionStartRows: the start of a tenant's session is detected if
+	// that many of its rows were called within the window.
+	SessionStartWindow time.Duration
+	SessionStartRows   int
+	// LoadAheadHold is how long a replica that was loaded ahead is kept for its first call.
+	LoadAheadHold time.Duration
 }
 
 // DefaultParameters are the values used where Parameters has a zero.
 var DefaultParameters = Parameters{
-	ColdStartWeight:  0.5,
-	ColdSecondWorth:  2,
-	KeepAlive:        10 * time.Minute,
-	LoadOverhead:     2 * time.Second,
-	BytesPerSecond:   [3]float64{20e9, 3e9, 1e9},
-	MinimumResidency: time.Minute,
-	OpeningWindow:    2 * time.Minute,
-	OpeningRows:      2,
-	OpeningHold:      10 * time.Minute,
+	ColdStartWeight:    0.5,
+	ColdSecondWorth:    2,
+	KeepAlive:          10 * time.Minute,
+	LoadOverhead:       2 * time.Second,
+	BytesPerSecond:     [3]float64{20e9, 3e9, 1e9},
+	MinimumResidency:   time.Minute,
+	SessionStartWindow: 2 * time.Minute,
+	SessionStartRows:   2,
+	LoadAheadHold:      10 * time.Minute,
 }
 
 func (p Parameters) withDefaults() Parameters {
-	orDuration(&p.KeepAlive, DefaultParameters.KeepAlive)
-	orDuration(&p.LoadOverhead, DefaultParameters.LoadOverhead)
-	orDuration(&p.MinimumResidency, DefaultParameters.MinimumResidency)
-	orDuration(&p.OpeningWindow, DefaultParameters.OpeningWindow)
-	orDuration(&p.OpeningHold, DefaultParameters.OpeningHold)
+	setDefault(&p.KeepAlive, DefaultParameters.KeepAlive)
+	setDefault(&p.LoadOverhead, DefaultParameters.LoadOverhead)
+	setDefault(&p.MinimumResidency, DefaultParameters.MinimumResidency)
+	setDefault(&p.SessionStartWindow, DefaultParameters.SessionStartWindow)
+	setDefault(&p.LoadAheadHold, DefaultParameters.LoadAheadHold)
 	if p.ColdSecondWorth == 0 {
 		p.ColdSecondWorth = DefaultParameters.ColdSecondWorth
 	}
-	if p.OpeningRows == 0 {
-		p.OpeningRows = DefaultParameters.OpeningRows
+	if p.SessionStartRows == 0 {
+		p.SessionStartRows = DefaultParameters.SessionStartRows
 	}
 	for source, rate := range p.BytesPerSecond {
 		if rate == 0 {
@@ -88,7 +90,7 @@
 	return p
 }
 
-func orDuration(value *time.Duration, fallback time.Duration) {
+func setDefault(value *time.Duration, fallback time.Duration) {
 	if *value == 0 {
 		*value = fallback
 	}
@@ -97,58 +99,58 @@
 // New returns the policy of that name.
 func New(name string, parameters Parameters) (Policy, error) {
 	if parameters.ColdStartWeight < 0 || parameters.ColdStartWeight > 1 {
-		return nil, eris.Errorf("cold start weight %v is not within 0 and 1", parameters.ColdStartWeight)
+		return nil, eris.Errorf("cold start weight %v is not between 0 and 1", parameters.ColdStartWeight)
 	}
-	made := policy{name: name, parameters: parameters.withDefaults()}
+	selected := policy{name: name, parameters: parameters.withDefaults()}
 	switch name {
 	case PolicyOnDemandLRU:
-		made.keepAlive = keepForever
-		made.order = byOldestWait
-		made.victimCost = leastRecentlyUsed
+		selected.keepAlive = unlimitedKeepAlive
+		selected.order = byOldestWait
+		selected.victimCost = leastRecentlyUsed
 	case PolicyFixedKeepAlive:
-		made.keepAlive = keepFixed
-		made.order = byOldestWait
-		made.victimCost = leastRecentlyUsed
+		selected.keepAlive = fixedKeepAlive
+		selected.order = byOldestWait
+		selected.victimCost = leastRecentlyUsed
 	case PolicyPinned:
-		made.keepAlive = keepForever
-		made.order = byOldestWait
-		made.victimCost = leastRecentlyUsed
-		made.pinAll = true
+		selected.keepAlive = unlimitedKeepAlive
+		selected.order = byOldestWait
+		selected.victimCost = leastRecentlyUsed
+		selected.pinAll = true
 	case PolicyHatchplank:
-		made.keepAlive = keepByCost
-		made.keepExtra = extraKeepAlive
-		made.order = byUrgency
-		made.victimCost = coldStartCost
-		made.sourceAware = true
-		made.limitRemote = true
-		made.foresee = true
+		selected.keepAlive = boundedKeepAliveByCost
+		selected.maxExtraKeepAlive = extraKeepAlive
+		selected.order = byUrgency
+		selected.victimCost = coldStartCost
+		selected.sourceAware = true
+		selected.limitRemote = true
+		selected.loadAhead = true
 	default:
-		return nil, eris.Errorf("no policy is named %q", name)
+		return nil, eris.Errorf("unknown policy %q", name)
 	}
-	return &made, nil
+	return &selected, nil
 }
 
-// policy is the common procedure with the parts that policies differ in.
+// policy is the procedure that all policies share, with the parts in which they differ.
 type policy struct {
 	name       string
 	parameters Parameters
-	// keepAlive tells how long the replica that was last needed at a time stays.
+	// keepAlive returns how long after its last need an idle replica is kept.
 	keepAlive func(w *workspace, row int, lastNeeded time.Time) time.Duration
-	// keepExtra bounds how long a row's replicas beyond the first stay; 0: as
-	// long as the first.
-	keepExtra time.Duration
+	// maxExtraKeepAlive bounds the keep-alive of a row's replicas beyond the first; 0 means
+	// no bound.
+	maxExtraKeepAlive time.Duration
 	// order reports whether candidate a is loaded before b.
 	order func(w *workspace, a, b *candidate) bool
-	// victimCost is the cost of unloading an idle replica; lowest goes first.
+	// victimCost is the cost of unloading an idle replica; the lowest is unloaded first.
 	victimCost func(w *workspace, server int, replica *Replica, row int) float64
-	// sourceAware placement takes the server with the fastest checkpoint.
+	// sourceAware placement prefers the server that loads fastest.
 	sourceAware bool
-	// limitRemote keeps within the weight store's rate and full-speed loads.
+	// limitRemote limits remote loads to the weight store's rate and its full-speed loads.
 	limitRemote bool
-	// pinAll keeps every row at its maximum.
+	// pinAll keeps every row at its maximum of replicas.
 	pinAll bool
-	// foresee loads rows ahead of their first call.
-	foresee bool
+	// loadAhead allows loading rows before their first call.
+	loadAhead bool
 }
 
 // Name implements Policy.
@@ -157,17 +159,17 @@
 // Plan implements Policy.
 func (p *policy) Plan(snapshot *Snapshot) Plan {
 	w := newWorkspace(p, snapshot)
-	w.decideDesired()
+	w.setDesired()
 	w.retire()
 	w.loadModels()
 	w.loadAdapters()
 	return w.finish()
 }
 
-// loadSeconds estimates a load's duration from a source.
+// loadSeconds estimates the duration of a load of some bytes from a source.
 func (w *workspace) loadSeconds(bytes int64, source outside.CheckpointSource) float64 {
 	overhead := w.policy.parameters.LoadOverhead.Seconds()
-	if rate := w.snapshot.Statistics.loadRate(source); rate > 0 {
+	if rate := w.snapshot.Statistics.measuredSecondsPerGigabyte(source); rate > 0 {
 		return rate*float64(bytes)/gigabyte + overhead
 	}
 	seconds := float64(bytes) / w.policy.parameters.BytesPerSecond[source]
--- a/internal/planner/retire.go
+++ b/internal/planner/retire.go
@@ -7,15 +7,15 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// placedReplica is a replica with where it is.
+// placedReplica is a replica with its server and the cost of unloading it.
 type placedReplica struct {
 	server  int
 	replica *Replica
 	cost    float64
 }
 
-// retire unloads what must go for its own sake: removed rows, leaving servers,
-// replicas over the maximum, old versions and idle ones.
+// retire unloads replicas independently of other rows' need for memory: those of removed
+// rows, on leaving servers, beyond the maximum, of old versions, and idle ones.
 func (w *workspace) retire() {
 	staying := make([][]placedReplica, len(w.rows))
 	for i := range w.snapshot.Servers {
@@ -31,7 +31,8 @@
 	}
 }
 
-// retireReplica decides on a replica alone, and else sorts it under its row.
+// retireReplica unloads a replica of a removed row or on a leaving server; others it adds to
+// the staying replicas of their row.
 func (w *workspace) retireReplica(i int, replica *Replica, staying [][]placedReplica) {
 	server := &w.snapshot.Servers[i]
 	if !server.Usable || replica.Phase == outside.ReplicaUnloading || replica.UnloadOrdered {
@@ -48,6 +49,7 @@
 	}
 }
 
+// retireRow resumes and unloads replicas of one row.
 func (w *workspace) retireRow(i int, replicas []placedReplica) {
 	w.resume(i, replicas)
 	row, work := &w.snapshot.Rows[i], &w.rows[i]
@@ -59,18 +61,18 @@
 		placed.cost = w.policy.victimCost(w, placed.server, placed.replica, i)
 		live = append(live, placed)
 	}
-	sort.SliceStable(live, func(a, b int) bool { return w.goesBefore(row, live[a], live[b]) })
+	sort.SliceStable(live, func(a, b int) bool { return w.unloadsBefore(row, live[a], live[b]) })
 	over := work.held - row.Max
-	over -= work.ending + work.leaving
+	over -= work.unloading + work.leaving
 	live = w.retireCount(i, live, over, ReasonOverMaximum, false)
 	live = w.retireOutdated(i, live)
 	idle := work.current + work.outdated - work.desired
 	w.retireCount(i, live, idle, ReasonIdle, true)
 }
 
-// goesBefore orders a row's replicas by which to unload first: old versions,
-// then those that do not serve yet, then the cheapest, then by server.
-func (w *workspace) goesBefore(row *Row, a, b placedReplica) bool {
+// unloadsBefore orders a row's replicas for unloading: old versions first, then replicas that
+// are not ready, then those with the fewest running requests, then the cheapest.
+func (w *workspace) unloadsBefore(row *Row, a, b placedReplica) bool {
 	oldA, oldB := a.replica.Version != row.Version, b.replica.Version != row.Version
 	if oldA != oldB {
 		return oldA
@@ -88,7 +90,8 @@
 	return a.server < b.server
 }
 
-// retireCount unloads up to count replicas and returns the others.
+// retireCount unloads up to count replicas, of which only idle ones if idleOnly is set, and
+// returns the others.
 func (w *workspace) retireCount(i int, live []placedReplica, count int, reason Reason, idleOnly bool) []placedReplica {
 	rest := live[:0:0]
 	for _, placed := range live {
@@ -99,16 +102,16 @@
 		}
 		count--
 		w.unload(placed.server, placed.replica, reason, "")
-		w.uncount(i, placed.replica)
+		w.countUnload(i, placed.replica)
 	}
 	return rest
 }
 
-// uncount takes a replica that is unloaded by this plan out of its row.
-func (w *workspace) uncount(i int, replica *Replica) {
+// countUnload updates the row's counts for a replica that this plan unloads.
+func (w *workspace) countUnload(i int, replica *Replica) {
 	work := &w.rows[i]
 	ready := replica.Phase == outside.ReplicaReady
-	work.ending++
+	work.unloading++
 	if replica.Version == w.snapshot.Rows[i].Version {
 		work.current--
 		if ready {
@@ -122,11 +125,11 @@
 	}
 }
 
-// retireOutdated replaces old versions one by one: the next goes when enough
-// others serve, or when its slot is needed for the new version.
+// retireOutdated unloads replicas of old versions one at a time: the next one if enough
+// others are ready, or if its slot is needed for the new version.
 func (w *workspace) retireOutdated(i int, live []placedReplica) []placedReplica {
 	row, work := &w.snapshot.Rows[i], &w.rows[i]
-	if work.outdated == 0 || work.ending > 0 {
+	if work.outdated == 0 || work.unloading > 0 {
 		return live
 	}
 	enough := work.ready+work.outdatedReady > max(1, work.desired)
@@ -138,14 +141,14 @@
 	for at, placed := range live {
 		if placed.replica.Version != row.Version {
 			w.unload(placed.server, placed.replica, ReasonVersionChange, "")
-			w.uncount(i, placed.replica)
+			w.countUnload(i, placed.replica)
 			return append(live[:at:at], live[at+1:]...)
 		}
 	}
 	return live
 }
 
-// resume gives draining replicas back to a row that needs them again.
+// resume ends the draining of replicas that the row needs again.
 func (w *workspace) resume(i int, replicas []placedReplica) {
 	row, work := &w.snapshot.Rows[i], &w.rows[i]
 	for _, placed := range replicas {
@@ -159,14 +162,14 @@
 			Action: ActionResume, Reason: ReasonNeededAgain, Server: server.ID,
 			Model: replica.Model, Version: replica.Version, Slot: replica.Slot, Attempt: replica.Attempt,
 		})
-		work.ending--
+		work.unloading--
 		work.current++
 		work.ready++
 		w.servers[placed.server].freeing -= replica.memory()
 	}
 }
 
-// unload decides the unload of a replica, unless that was decided before.
+// unload adds the decision to unload a replica, unless its unload was decided before.
 func (w *workspace) unload(i int, replica *Replica, reason Reason, forRow string) {
 	if replica.Draining || replica.UnloadOrdered || replica.Phase == outside.ReplicaUnloading {
 		return
--- a/internal/planner/sessions.go
+++ b/internal/planner/sessions.go
@@ -6,38 +6,38 @@
 )
 
 const (
-	// sessionWindow and sessionPause: a session begins when enough of a tenant's
-	// rows were called within the window, and is over when fewer were within
-	// the pause. Stray calls make neither.
+	// sessionWindow and sessionPause: a session starts when enough of a tenant's rows were
+	// called within the window, and has ended when fewer were called within the pause.
+	// Isolated calls do neither.
 	sessionWindow = 2 * time.Minute
 	sessionPause  = 15 * time.Minute
-	// sessionRows is the least number of rows that make a session, and
-	// sessionRowShare the least share of the tenant's known rows.
-	sessionRows     = 3
-	sessionRowShare = 0.2
-	// keptStarts is how many session starts are remembered for a tenant.
-	keptStarts = 8
-	// sessionMemory weighs older sessions against the newest.
-	sessionMemory = 0.8
+	// minSessionRows is the smallest number of rows that make a session, and
+	// minSessionRowShare the smallest share of the tenant's rows.
+	minSessionRows     = 3
+	minSessionRowShare = 0.2
+	// maxStarts is how many session starts are kept for a tenant.
+	maxStarts = 8
+	// sessionDecay is the factor by which each session reduces the weight of earlier ones.
+	sessionDecay = 0.8
 )
 
-// TenantStatistics is the learned use by one tenant. A session is a time in
-// which many of its rows are called, such as an admissions round.
+// TenantStatistics are the usage statistics of one tenant. A session is a period in which
+// many of its rows are called, such as an admissions round.
 type TenantStatistics struct {
-	// Session numbers the sessions; Sessions is their decayed count.
+	// Session is the number of the latest session; Sessions is their decayed count.
 	Session  uint32
 	Sessions float32
 	LastUsed time.Time
-	// Active: the session of this number is not over.
+	// Active is set if the latest session has not ended.
 	Active bool
-	// Starts of the newest sessions, oldest first.
+	// Starts of the latest sessions, oldest first.
 	Starts []time.Time
 
 	rows []*RowStatistics
 }
 
-// observeTenant notes that a row of the tenant, whose own statistics were not
-// brought up to date yet, is in use.
+// observeTenant records that a row of the tenant is in use. It must be called before the
+// row's own statistics are updated.
 func (s *Statistics) observeTenant(now time.Time, name string, row *RowStatistics) {
 	tenant := s.tenants[name]
 	if tenant == nil {
@@ -50,33 +50,34 @@
 	}
 	tenant.LastUsed = now
 	if now.Sub(row.LastUsed) >= sessionWindow {
-		tenant.countRows(now, row)
+		tenant.updateSession(now, row)
 	}
 	if tenant.Active {
-		tenant.useInSession(row)
+		tenant.countSessionUse(row)
 	}
 }
 
-// countRows ends or begins a session when a row comes into use.
-func (t *TenantStatistics) countRows(now time.Time, coming *RowStatistics) {
-	enough := max(sessionRows, int(math.Ceil(sessionRowShare*float64(len(t.rows)))))
-	recent, lately := 1, 1
+// updateSession ends or starts a session when a row is used that was not used within
+// sessionWindow.
+func (t *TenantStatistics) updateSession(now time.Time, used *RowStatistics) {
+	needed := max(minSessionRows, int(math.Ceil(minSessionRowShare*float64(len(t.rows)))))
+	withinWindow, withinPause := 1, 1
 	for _, row := range t.rows {
-		if row == coming {
+		if row == used {
 			continue
 		}
 		idle := now.Sub(row.LastUsed)
 		if idle < sessionWindow {
-			recent++
+			withinWindow++
 		}
 		if idle < sessionPause {
-			lately++
+			withinPause++
 		}
 	}
-	if t.Active && lately < enough {
+	if t.Active && withinPause < needed {
 		t.Active = false
 	}
-	if !t.Active && recent >= enough {
+	if !t.Active && withinWindow >= needed {
 		t.startSession(now)
 	}
 }
@@ -84,31 +85,30 @@
 func (t *TenantStatistics) startSession(now time.Time) {
 	t.Active = true
 	t.Session++
-	t.Sessions = t.Sessions*sessionMemory + 1
+	t.Sessions = t.Sessions*sessionDecay + 1
 	t.Starts = append(t.Starts, now)
-	if len(t.Starts) > keptStarts {
-		t.Starts = t.Starts[len(t.Starts)-keptStarts:]
+	if len(t.Starts) > maxStarts {
+		t.Starts = t.Starts[len(t.Starts)-maxStarts:]
 	}
 	for _, row := range t.rows {
 		if now.Sub(row.LastUsed) < sessionWindow {
-			t.useInSession(row)
+			t.countSessionUse(row)
 		}
 	}
 }
 
-// useInSession counts the present session as one that uses the row.
-func (t *TenantStatistics) useInSession(row *RowStatistics) {
+// countSessionUse counts the current session as one that uses the row, once.
+func (t *TenantStatistics) countSessionUse(row *RowStatistics) {
 	if row.LastSession == t.Session {
 		return
 	}
 	missed := float64(t.Session - row.LastSession)
-	row.Sessions = row.Sessions*float32(math.Pow(sessionMemory, missed)) + 1
+	row.Sessions = row.Sessions*float32(math.Pow(sessionDecay, missed)) + 1
 	row.LastSession = t.Session
 }
 
-// SessionShare estimates the probability that a session of the tenant uses the
-// row, from the sessions before the one that is active or comes next. 0 when
-// there were none.
+// SessionShare estimates the probability that a session of the tenant uses the row, from the
+// completed sessions. It is 0 if there were none.
 func (s *Statistics) SessionShare(row, tenant string) float64 {
 	rowStatistics, tenantStatistics := s.Row(row), s.Tenant(tenant)
 	if rowStatistics == nil || tenantStatistics == nil {
@@ -120,7 +120,7 @@
 	}
 	switch {
 	case rowStatistics.LastSession < tenantStatistics.Session:
-		used *= math.Pow(sessionMemory, float64(tenantStatistics.Session-rowStatistics.LastSession))
+		used *= math.Pow(sessionDecay, float64(tenantStatistics.Session-rowStatistics.LastSession))
 	case tenantStatistics.Active:
 		used--
 	}
--- a/internal/planner/sessions_test.go
+++ b/internal/planner/sessions_test.go
@@ -10,7 +10,7 @@
 	"github.com/hatchplank/hatchplank/internal/planner"
 )
 
-// observeRound lets five models be called within two minutes.
+// observeRound records calls of five models within two minutes.
 func observeRound(statistics *planner.Statistics, at time.Time) {
 	for i := range 5 {
 		statistics.Observe(at.Add(time.Duration(i)*20*time.Second), fmt.Sprintf("model-%d", i), "group-a", 1)
@@ -18,7 +18,7 @@
 }
 
 var _ = Describe("Sessions", func() {
-	It("are not begun by stray calls", func() {
+	It("are not started by isolated calls", func() {
 		statistics := planner.NewStatistics()
 		for hour := range 48 {
 			statistics.Observe(start.Add(time.Duration(hour)*time.Hour), fmt.Sprintf("model-%d", hour%5), "group-a", 1)
@@ -26,10 +26,10 @@
 		Expect(statistics.Tenant("group-a").Starts).To(BeEmpty())
 		observeRound(statistics, start.Add(50*time.Hour))
 		Expect(statistics.Tenant("group-a").Starts).To(HaveLen(1))
-		Expect(statistics.SessionShare("model-1", "group-a")).To(BeZero(), "there was none before")
+		Expect(statistics.SessionShare("model-1", "group-a")).To(BeZero(), "no session came before")
 	})
 
-	It("go on through pauses and are counted once", func() {
+	It("continue through pauses and are counted once", func() {
 		statistics := planner.NewStatistics()
 		for minute := range 30 {
 			observeRound(statistics, start.Add(time.Duration(minute)*4*time.Minute))
@@ -37,7 +37,7 @@
 		Expect(statistics.Tenant("group-a").Starts).To(HaveLen(1))
 	})
 
-	DescribeTable("that recur", func(gaps []time.Duration, ahead time.Duration, restored bool, expected int) {
+	DescribeTable("at regular intervals", func(gaps []time.Duration, ahead time.Duration, restored bool, expected int) {
 		statistics, at := planner.NewStatistics(), start.Add(-1000*time.Hour)
 		observeRound(statistics, at)
 		for _, gap := range gaps {
@@ -65,11 +65,11 @@
 			Expect(decision.Reason).To(Equal(planner.ReasonForeseen))
 		}
 	},
-		Entry("are loaded ahead", []time.Duration{168 * time.Hour, 168 * time.Hour}, time.Minute, false, 5),
-		Entry("are loaded ahead by another owner", []time.Duration{168 * time.Hour, 168 * time.Hour}, time.Minute, true, 5),
-		Entry("are loaded ahead though detected a little late", []time.Duration{time.Hour, time.Hour + 2*time.Minute}, time.Minute, false, 5),
-		Entry("are not loaded long ahead", []time.Duration{168 * time.Hour, 168 * time.Hour}, time.Hour, false, 0),
-		Entry("are not loaded when irregular", []time.Duration{100 * time.Hour, 168 * time.Hour}, time.Minute, false, 0),
-		Entry("are not loaded after one gap", []time.Duration{168 * time.Hour}, time.Minute, false, 0),
+		Entry("have their models loaded ahead", []time.Duration{168 * time.Hour, 168 * time.Hour}, time.Minute, false, 5),
+		Entry("have their models loaded ahead by another owner", []time.Duration{168 * time.Hour, 168 * time.Hour}, time.Minute, true, 5),
+		Entry("have their models loaded ahead although one was detected a little late", []time.Duration{time.Hour, time.Hour + 2*time.Minute}, time.Minute, false, 5),
+		Entry("cause no load long ahead", []time.Duration{168 * time.Hour, 168 * time.Hour}, time.Hour, false, 0),
+		Entry("cause no load when the intervals differ", []time.Duration{100 * time.Hour, 168 * time.Hour}, time.Minute, false, 0),
+		Entry("cause no load after one interval", []time.Duration{168 * time.Hour}, time.Minute, false, 0),
 	)
 })
--- a/internal/planner/snapshot.go
+++ b/internal/planner/snapshot.go
@@ -1,6 +1,6 @@
-// Package planner decides which models are loaded where. A policy is a pure
-// function from a snapshot of one cell to a plan; the rules that no policy may
-// break are checked apart, by the Verifier.
+// Package planner decides which models are loaded on which servers of a cell. A policy is
+// a pure function from a snapshot of the cell to a plan; the Verifier checks separately the
+// rules that no policy may break.
 package planner
 
 import (
@@ -10,64 +10,70 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// Snapshot is everything a policy knows of one cell at one moment. Slices are
-// sorted by name or id; a policy changes nothing in it.
+// Snapshot is the state of one cell at one time, on which a plan depends. Slices are sorted
+// by name or ID; a policy does not modify it.
 type Snapshot struct {
 	Now      time.Time
 	Revision table.Revision
 	// Rows in order of name.
 	Rows []Row
-	// Index of Rows, to be made once a table revision; nil: made for each plan.
+	// Index of Rows, which can be built once for a table revision; if nil it is built for
+	// each plan.
 	Index *RowIndex
-	// Servers in order of id, adopted or not.
+	// Servers in order of ID, adopted or not.
 	Servers []Server
-	// UnknownServers may each hold one replica of every model: they were not
-	// heard since the owner acquired the cell and are not known to be gone.
+	// UnknownServers counts servers that may each hold one replica of every model: they have
+	// not reported since the owner acquired the cell, and may still be running.
 	UnknownServers int
 	Store          Store
 	// Statistics may be nil.
 	Statistics *Statistics
 }
 
-// Row is a table row with the cell's part of its limits and its demand.
+// Row is a table row with the cell's share of its limits and its demand.
 type Row struct {
 	table.Row
-	// Min, Max and FirstSlot are the cell's allotment.
+	// Min and Max bound the row's replicas in the cell; its slots are the Max slots from
+	// FirstSlot on.
 	Min, Max  int
 	FirstSlot outside.SlotID
 	Demand    Demand
 }
 
-// Demand for a row, summed over the gateways.
+// Demand is the demand for a row, summed over the gateways.
 type Demand struct {
+	// Waiting counts waiting requests.
 	Waiting int
-	// OldestWait and EarliestDeadline are zero when nothing waits.
+	// OldestWait is when the oldest waiting request arrived. Like EarliestDeadline it is zero
+	// if none waits.
 	OldestWait       time.Time
 	EarliestDeadline time.Time
 	HighestPriority  int
-	Running          int
-	// ArrivalsPerSecond over the last seconds.
+	// Running counts requests that are being served.
+	Running int
+	// ArrivalsPerSecond is the recent arrival rate.
 	ArrivalsPerSecond float64
 	LastArrival       time.Time
 }
 
-// Load is the number of requests waiting or running.
+// Load returns the number of requests that wait or run.
 func (d Demand) Load() int { return d.Waiting + d.Running }
 
 // Server is one engine of the cell.
 type Server struct {
 	ID   outside.ServerID
 	Zone string
-	// MemoryBytes in total, and what the ledger has committed of it.
+	// MemoryBytes is the server's memory, CommittedBytes what the ledger has committed of it.
 	MemoryBytes, CommittedBytes int64
-	// MaxBatch is how many requests run at once on one replica.
+	// MaxBatch is how many requests one replica runs at once; 0 if not reported.
 	MaxBatch int
 	// Usable servers were adopted by this owner and answer.
 	Usable bool
-	// Unreachable servers have not answered for a while: what they hold counts
-	// as held, but not as serving.
+	// Unreachable servers have not answered for a while: their replicas count as held, but
+	// not as serving.
 	Unreachable bool
-	Leaving     bool
+	// Leaving servers will be shut down and get no new replicas.
+	Leaving bool
 	// Replicas in order of model.
 	Replicas []Replica
 	// Cached checkpoints in order of name.
@@ -82,8 +88,7 @@
 	Until time.Time
 }
 
-// Replica is one held slot, from the order to load it until its unload is
-// confirmed.
+// Replica is one slot that is held, from the order to load it until its unload is confirmed.
 type Replica struct {
 	Model   string
 	Version string
@@ -91,18 +96,19 @@
 	Attempt outside.AttemptID
 	// Phase is ReplicaLoading also while the outcome of the order is unknown.
 	Phase outside.ReplicaPhase
-	// Draining replicas get no new work; UnloadOrdered ones have their unload sent.
+	// Draining replicas get no new work; for UnloadOrdered ones the unload was sent.
 	Draining, UnloadOrdered bool
-	Running                 int
-	MemoryBytes             int64
-	Source                  outside.CheckpointSource
-	// Since is when the phase was entered; ReadyAt estimates a load's end.
+	// Running counts the requests that run on the replica.
+	Running     int
+	MemoryBytes int64
+	Source      outside.CheckpointSource
+	// Since is when the phase began; ReadyAt estimates when a load ends.
 	Since, ReadyAt time.Time
 	// Adapters in order of name.
 	Adapters []Adapter
 }
 
-// Adapter is an adapter held on a replica.
+// Adapter is an adapter on a replica.
 type Adapter struct {
 	Name        string
 	Version     string
@@ -114,12 +120,12 @@
 
 // Store is the state of the weight store.
 type Store struct {
-	// Known is false when the store's status was never read.
+	// Known is false if the store's status was never read.
 	Known bool
 	outside.WeightStoreStatus
-	// InFlight remote loads of this cell.
+	// InFlight counts the remote loads of this cell that are under way.
 	InFlight int
-	// Starts that the store's rate allows this cell now.
+	// Starts is how many loads the store's rate allows this cell to start now.
 	Starts int
 }
 
@@ -130,7 +136,7 @@
 	bases []int
 }
 
-// IndexRows makes the index of rows in order of name.
+// IndexRows returns the index of rows, which are in order of name.
 func IndexRows(rows []Row) *RowIndex {
 	index := &RowIndex{byName: make(map[string]int, len(rows)), bases: make([]int, len(rows))}
 	for i := range rows {
@@ -145,7 +151,7 @@
 	return index
 }
 
-// rowIndex returns the snapshot's index, made now if it has none.
+// rowIndex returns the snapshot's index, or builds one if it has none.
 func (s *Snapshot) rowIndex() *RowIndex {
 	if s.Index != nil {
 		return s.Index
--- a/internal/planner/statistics.go
+++ b/internal/planner/statistics.go
@@ -13,42 +13,44 @@
 )
 
 const (
-	// gapBuckets hold idle gaps by powers of two of a second, up to a year.
+	// gapBuckets is the number of buckets for idle gaps, by powers of two of a second. They
+	// reach beyond a year.
 	gapBuckets = 26
-	// shortestGap between two uses that counts as idle time.
-	shortestGap = time.Second
-	// fastestLoad in seconds per gigabyte keeps a measurement from being none.
-	fastestLoad = 0.001
-	// loadMemory weighs older load times against the newest.
-	loadMemory = 0.8
+	// minGap is the shortest time between two uses that counts as an idle gap.
+	minGap = time.Second
+	// minSecondsPerGigabyte is the lower bound of measured load times, since 0 means that
+	// nothing was measured.
+	minSecondsPerGigabyte = 0.001
+	// loadTimeDecay is the weight of earlier load times against the latest one.
+	loadTimeDecay = 0.8
 )
 
-// RowStatistics is the learned use of one row.
+// RowStatistics are the usage statistics of one row.
 type RowStatistics struct {
 	LastUsed time.Time
-	// Needed[k] is when k+1 replicas were last needed.
+	// Needed[k] is when at least k+1 replicas were last needed.
 	Needed []time.Time
 	// Gaps counts the idle gaps between uses, by powers of two of a second.
 	Gaps []float32
 	// Sessions is the decayed count of the tenant's sessions that used the row;
-	// LastSession is the number of the newest of them.
+	// LastSession is the number of the latest of them.
 	Sessions    float32
 	LastSession uint32
-	// Tenant of the row when it was used last.
+	// Tenant of the row when it was last used.
 	Tenant string
 }
 
-// Statistics is what policies learn from past traffic. It is not safe for
+// Statistics are the usage and load times that policies learn from. They are not safe for
 // concurrent use.
 type Statistics struct {
 	rows    map[string]*RowStatistics
 	tenants map[string]*TenantStatistics
-	// secondsPerGigabyte measured by source; 0: not measured.
+	// secondsPerGigabyte measured by source; 0 if not measured.
 	secondsPerGigabyte [3]float64
 	observations       uint64
 }
 
-// Observations counts what was observed since the statistics were made.
+// Observations returns how many observations were made since the statistics were created.
 func (s *Statistics) Observations() uint64 { return s.observations }
 
 // NewStatistics returns empty statistics.
@@ -56,7 +58,7 @@
 	return &Statistics{rows: map[string]*RowStatistics{}, tenants: map[string]*TenantStatistics{}}
 }
 
-// Row returns what is known of a row, nil if nothing.
+// Row returns the statistics of a row, or nil if there are none.
 func (s *Statistics) Row(name string) *RowStatistics {
 	if s == nil {
 		return nil
@@ -64,7 +66,7 @@
 	return s.rows[name]
 }
 
-// Tenant returns what is known of a tenant, nil if nothing.
+// Tenant returns the statistics of a tenant, or nil if there are none.
 func (s *Statistics) Tenant(name string) *TenantStatistics {
 	if s == nil {
 		return nil
@@ -72,7 +74,7 @@
 	return s.tenants[name]
 }
 
-// Observe records that a row is in use now and needs that many replicas.
+// Observe records that a row of a tenant is in use now and needs that many replicas.
 func (s *Statistics) Observe(now time.Time, row, tenant string, needed int) {
 	s.observations++
 	statistics := s.rows[row]
@@ -81,7 +83,7 @@
 		s.rows[row] = statistics
 	}
 	s.observeTenant(now, tenant, statistics)
-	if gap := now.Sub(statistics.LastUsed); !statistics.LastUsed.IsZero() && gap > shortestGap {
+	if gap := now.Sub(statistics.LastUsed); !statistics.LastUsed.IsZero() && gap > minGap {
 		statistics.recordGap(gap)
 	}
 	statistics.LastUsed = now
@@ -105,30 +107,32 @@
 	return max(0, min(bucket, gapBuckets-1))
 }
 
-// ObserveLoad records how long a load took.
+// ObserveLoad records how long a load of some bytes took.
 func (s *Statistics) ObserveLoad(source outside.CheckpointSource, bytes int64, took time.Duration) {
 	if bytes <= 0 || took <= 0 || int(source) >= len(s.secondsPerGigabyte) {
 		return
 	}
 	s.observations++
 	transfer := max(0, took-DefaultParameters.LoadOverhead).Seconds()
-	measured := max(fastestLoad, transfer/(float64(bytes)/gigabyte))
+	measured := max(minSecondsPerGigabyte, transfer/(float64(bytes)/gigabyte))
 	known := s.secondsPerGigabyte[source]
 	if known > 0 {
-		measured = loadMemory*known + (1-loadMemory)*measured
+		measured = loadTimeDecay*known + (1-loadTimeDecay)*measured
 	}
 	s.secondsPerGigabyte[source] = measured
 }
 
-// loadRate returns the measured seconds per gigabyte, 0 if never measured.
-func (s *Statistics) loadRate(source outside.CheckpointSource) float64 {
+// measuredSecondsPerGigabyte returns the measured load time from a source, 0 if there is no
+// measurement.
+func (s *Statistics) measuredSecondsPerGigabyte(source outside.CheckpointSource) float64 {
 	if s == nil {
 		return 0
 	}
 	return s.secondsPerGigabyte[source]
 }
 
-// namedRow and the types after it are the encoded form, sorted by name.
+// namedRow, namedTenant and encodedStatistics are the encoded form. Rows and tenants are
+// sorted by name.
 type namedRow struct {
 	Name string
 	RowStatistics
@@ -161,7 +165,7 @@
 	return buffer.Bytes(), eris.Wrap(err, "encode statistics")
 }
 
-// DecodeStatistics reads what Encode wrote.
+// DecodeStatistics decodes what Encode returned.
 func DecodeStatistics(data []byte) (*Statistics, error) {
 	var encoded encodedStatistics
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&encoded); err != nil {
@@ -171,7 +175,7 @@
 	statistics.secondsPerGigabyte = encoded.SecondsPerGigabyte
 	for _, row := range encoded.Rows {
 		if len(row.Gaps) != 0 && len(row.Gaps) != gapBuckets {
-			return nil, eris.Errorf("row %q has %d gap buckets", row.Name, len(row.Gaps))
+			return nil, eris.Errorf("row %q: unexpected number of gap buckets: %d", row.Name, len(row.Gaps))
 		}
 		statistics.rows[row.Name] = &row.RowStatistics
 	}
@@ -182,7 +186,7 @@
 	return statistics, nil
 }
 
-// linkTenants lists each tenant's rows, in order of name.
+// linkTenants rebuilds the list of each tenant's rows, in order of name.
 func (s *Statistics) linkTenants() {
 	names := make([]string, 0, len(s.rows))
 	for name := range s.rows {
@@ -199,8 +203,8 @@
 	}
 }
 
-// Restore takes over what an earlier owner learned, for rows and tenants that
-// were not observed here yet.
+// Restore adopts the statistics of an earlier owner for rows, tenants and load sources that
+// have none here. It shares their memory.
 func (s *Statistics) Restore(earlier *Statistics) {
 	for name, row := range earlier.rows {
 		if s.rows[name] == nil {
--- a/internal/planner/verifier.go
+++ b/internal/planner/verifier.go
@@ -7,7 +7,7 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// Rule names a rule that every decision has to keep.
+// Rule is the name of a rule that every decision must satisfy.
 type Rule string
 
 // The rules.
@@ -22,7 +22,7 @@
 	RuleAttempt       Rule = "attempt"
 )
 
-// Violation is the error of a decision that breaks a rule.
+// Violation is the error for a decision that breaks a rule.
 type Violation struct {
 	Rule     Rule
 	Decision Decision
@@ -38,9 +38,9 @@
 	slot  outside.SlotID
 }
 
-// Verifier checks decisions one after the other against a snapshot. Admitted
-// decisions count for the ones that follow; memory and slots are never given
-// back within one plan, since an unload frees them only when confirmed.
+// Verifier checks decisions one after the other against a snapshot. Admitted decisions count
+// for those that follow. Memory and slots are never released within one plan, since an
+// unload frees them only when it is confirmed.
 type Verifier struct {
 	snapshot  *Snapshot
 	rows      map[string]int
@@ -81,16 +81,18 @@
 	}
 }
 
-// Admit returns a *Violation if the decision breaks a rule; otherwise it
-// counts the decision as done.
+// Admit returns a *Violation if the decision breaks a rule. Otherwise the decision counts
+// for those that follow.
 func (v *Verifier) Admit(decision Decision) error {
-	if rule := v.broken(decision); rule != "" {
+	if rule := v.brokenRule(decision); rule != "" {
 		return &Violation{Rule: rule, Decision: decision}
 	}
 	return nil
 }
 
-func (v *Verifier) broken(decision Decision) Rule {
+// brokenRule returns the first rule that the decision breaks, or counts the decision and
+// returns an empty rule.
+func (v *Verifier) brokenRule(decision Decision) Rule {
 	i, known := v.servers[decision.Server]
 	if !known || !v.snapshot.Servers[i].Usable {
 		return RuleUsableServer
@@ -107,13 +109,13 @@
 
 func (v *Verifier) admitLoad(i int, decision Decision) Rule {
 	server := &v.snapshot.Servers[i]
-	row, rule := v.room(i, decision.Model, table.KindModel, decision.MemoryBytes)
+	row, rule := v.checkLoad(i, decision.Model, table.KindModel, decision.MemoryBytes)
 	if rule != "" {
 		return rule
 	}
 	slot := slotKey{decision.Model, decision.Slot}
-	outside := decision.Slot < row.FirstSlot || decision.Slot >= row.FirstSlot+outside.SlotID(row.Max)
-	if outside || v.slots[slot] {
+	outOfRange := decision.Slot < row.FirstSlot || decision.Slot >= row.FirstSlot+outside.SlotID(row.Max)
+	if outOfRange || v.slots[slot] {
 		return RuleFreeSlot
 	}
 	if server.replica(decision.Model) != nil || v.loaded[server.ID][decision.Model].Model != "" {
@@ -130,7 +132,7 @@
 
 func (v *Verifier) admitAdapter(i int, decision Decision) Rule {
 	server := &v.snapshot.Servers[i]
-	row, rule := v.room(i, decision.Adapter, table.KindAdapter, decision.MemoryBytes)
+	row, rule := v.checkLoad(i, decision.Adapter, table.KindAdapter, decision.MemoryBytes)
 	if rule != "" {
 		return rule
 	}
@@ -151,8 +153,8 @@
 	return ""
 }
 
-// holdsBase reports whether the replica that an adapter is loaded on is there
-// and stays.
+// holdsBase reports whether the replica on which an adapter is loaded exists and is not
+// draining.
 func (v *Verifier) holdsBase(server *Server, decision Decision) bool {
 	if decision.Attempt == "" {
 		return v.loaded[server.ID][decision.Model].Model != ""
@@ -161,8 +163,8 @@
 	return replica != nil && replica.Attempt == decision.Attempt && !replica.Draining
 }
 
-// room checks what holds for every load, of models and adapters.
-func (v *Verifier) room(i int, name string, kind table.Kind, memory int64) (*Row, Rule) {
+// checkLoad checks the rules for loads of models and adapters alike.
+func (v *Verifier) checkLoad(i int, name string, kind table.Kind, memory int64) (*Row, Rule) {
 	server := &v.snapshot.Servers[i]
 	at, known := v.rows[name]
 	if !known || v.snapshot.Rows[at].Kind != kind {
--- a/internal/planner/workspace.go
+++ b/internal/planner/workspace.go
@@ -7,47 +7,50 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// workspace is the working state of one Plan call.
+// workspace is the state of one Plan call.
 type workspace struct {
 	policy   *policy
 	snapshot *Snapshot
 	index    map[string]int
 	bases    []int
 	// rows and servers are parallel to the snapshot's.
-	rows    []rowWork
-	servers []serverWork
-	// remoteStarts that are left in this plan.
+	rows    []rowState
+	servers []serverState
+	// remoteStarts is how many more loads from the weight store this plan may start.
 	remoteStarts int
-	// largest memory of a server in bytes.
-	largest int64
-	// best source of each row's checkpoint in the cell; nil until asked for.
-	best []outside.CheckpointSource
-	// expected rows are foreseen to be called soon; nil if none.
-	expected []bool
-	// evicted replicas make room by this plan.
+	// largestMemory is the memory of the largest server in bytes.
+	largestMemory int64
+	// fastestSources is the fastest source of each row's checkpoint in the cell; nil until
+	// it is needed.
+	fastestSources []outside.CheckpointSource
+	// expectedRows is set for rows that are expected to be called soon; it may be nil.
+	expectedRows []bool
+	// evicted replicas are unloaded by this plan to free memory.
 	evicted map[*Replica]bool
-	// adapterTotals is the memory of all of each base model's adapters.
-	adapterTotals []int64
-	// adapterNeeds is the memory of each base model's waiting adapters.
-	adapterNeeds []int64
-	loads        []decidedLoad
-	plan         Plan
+	// adapterMemory is the memory of all adapters of each base model in bytes.
+	adapterMemory []int64
+	// waitingAdapterMemories is that of the adapters with waiting requests; nil until it is
+	// needed.
+	waitingAdapterMemories []int64
+	loads                  []decidedLoad
+	plan                   Plan
 }
 
-// rowWork is the state of one row; adapters and base models alike.
-type rowWork struct {
-	// demand of the row; of a base model with its adapters' demand.
+// rowState is the state of one row, of a base model or an adapter.
+type rowState struct {
+	// demand for the row; for a base model with that for its adapters.
 	demand Demand
-	// held slots in any phase, and the adapter's holders for adapter rows.
+	// held counts the row's replicas in any phase, or the replicas that hold the adapter.
 	held int
-	// current replicas are loading or ready, stay, and have the row's version;
-	// ready counts those of them that can serve.
+	// current replicas are loading or ready, stay, and have the row's version; ready counts
+	// those of them that can serve.
 	current, ready int
-	// outdated replicas stay but have another version.
+	// outdated replicas stay but have another version; outdatedReady counts those of them
+	// that can serve.
 	outdated, outdatedReady int
-	// draining or unloading replicas.
-	ending int
-	// leaving replicas are on servers that go or do not answer.
+	// unloading replicas are draining or being unloaded.
+	unloading int
+	// leaving replicas are on servers that are leaving or unreachable.
 	leaving int
 	// adapterMin is the largest minimum of the base model's adapters.
 	adapterMin int
@@ -60,19 +63,19 @@
 	slots       map[outside.SlotID]bool
 }
 
-// serverWork is the memory of one server.
-type serverWork struct {
-	// free bytes now, less what this plan loads.
+// serverState is the state of one server's memory.
+type serverState struct {
+	// free is the free memory in bytes, less what this plan loads.
 	free int64
-	// freeing bytes will be given back by unloads under way.
+	// freeing is the memory in bytes that unloads under way will free.
 	freeing int64
-	// loading counts the loads under way by source; those from one disk share
-	// its speed.
+	// loading counts the loads under way by source; loads from one disk share its
+	// throughput.
 	loading [3]int
-	// reserved bytes of the free ones are wanted for adapters of the replicas
-	// here; only when nothing else is left are models loaded into them.
+	// reserved is the part of the free memory, in bytes, that is kept for adapters of the
+	// server's replicas. Models are loaded into it only if there is no other option.
 	reserved int64
-	// placed models of this plan.
+	// placed rows are loaded here by this plan.
 	placed []string
 }
 
@@ -80,16 +83,16 @@
 	index := snapshot.rowIndex()
 	w := &workspace{
 		policy: p, snapshot: snapshot, index: index.byName, bases: index.bases,
-		rows:    make([]rowWork, len(snapshot.Rows)),
-		servers: make([]serverWork, len(snapshot.Servers)),
+		rows:    make([]rowState, len(snapshot.Rows)),
+		servers: make([]serverState, len(snapshot.Servers)),
 	}
 	w.sumDemand()
-	w.sumAdapterTotals()
+	w.sumAdapterMemory()
 	for i := range snapshot.Servers {
 		w.countServer(i)
 	}
 	w.remoteStarts = w.remoteStartsLeft()
-	w.largest = w.largestServer()
+	w.largestMemory = w.largestServer()
 	return w
 }
 
@@ -118,7 +121,7 @@
 	return a
 }
 
-// earlier returns the earlier of two times, where zero means none.
+// earlier returns the earlier of two times; a zero time stands for none.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
@@ -161,7 +164,7 @@
 	ready := replica.Phase == outside.ReplicaReady
 	switch {
 	case replica.Draining || replica.Phase == outside.ReplicaUnloading:
-		row.ending++
+		row.unloading++
 		return
 	case server.Leaving || server.Unreachable:
 		row.leaving++
@@ -184,7 +187,7 @@
 	}
 }
 
-// memory of the replica with its adapters.
+// memory returns the memory of the replica and its adapters in bytes.
 func (r *Replica) memory() int64 {
 	memory := r.MemoryBytes
 	for i := range r.Adapters {
@@ -193,7 +196,7 @@
 	return memory
 }
 
-// remoteStartsLeft is how many loads from the remote store may begin now.
+// remoteStartsLeft returns how many loads from the weight store may start now.
 func (w *workspace) remoteStartsLeft() int {
 	store := &w.snapshot.Store
 	if !w.policy.limitRemote || !store.Known {
