--- a/internal/router/breaker.go
+++ b/internal/router/breaker.go
@@ -7,24 +7,28 @@
 
 // Limits of the circuit breaker.
 const (
-	// failuresToOpen in a row open the breaker.
+	// failuresToOpen is the number of consecutive failures that open the breaker.
 	failuresToOpen = 2
-	// firstRest is the first time the breaker stays open; it doubles.
-	firstRest = 200 * time.Millisecond
-	// longestRest bounds the doubling.
-	longestRest = 10 * time.Second
-	// busyRest is how long an endpoint without room is left alone.
-	busyRest = 25 * time.Millisecond
+	// minOpenTime is how long the breaker first stays open, before jitter. The time doubles
+	// with each failed probe.
+	minOpenTime = 200 * time.Millisecond
+	// maxOpenTime is the upper limit of the doubled time.
+	maxOpenTime = 10 * time.Second
+	// busyBackoff is how long an endpoint that refused a request for lack of capacity gets
+	// no requests, before jitter.
+	busyBackoff = 25 * time.Millisecond
 )
 
-// breaker is a circuit breaker. Closed it allows everything; open it allows
-// nothing until openUntil; then it allows one probe whose outcome decides.
+// breaker is a circuit breaker. When closed it lets all requests through. When open it lets
+// none through until openUntil. Then it is half-open and lets one probe through, whose outcome
+// closes or reopens it.
 type breaker struct {
 	failures  int
 	openUntil time.Time
 	probing   bool
 }
 
+// allows reports whether a request may be sent now.
 func (b *breaker) allows(now time.Time) bool {
 	if now.Before(b.openUntil) {
 		return false
@@ -32,20 +36,22 @@
 	return !b.probing
 }
 
-// begin notes a request; after a rest it is the probe.
-func (b *breaker) begin() {
+// recordRequest records that a request is sent. If the breaker is half-open, the request is
+// its probe.
+func (b *breaker) recordRequest() {
 	if b.failures >= failuresToOpen {
 		b.probing = true
 	}
 }
 
-func (b *breaker) succeed() {
+// recordSuccess closes the breaker.
+func (b *breaker) recordSuccess() {
 	*b = breaker{}
 }
 
-// fail counts a failure. Failures of requests that were in flight when the
-// breaker opened belong to the same event and count no more.
-func (b *breaker) fail(now time.Time, random *rand.Rand) {
+// recordFailure counts a failure, and opens the breaker if there were enough. Failures of
+// requests that were in flight when the breaker opened have the same cause and don't count.
+func (b *breaker) recordFailure(now time.Time, random *rand.Rand) {
 	if now.Before(b.openUntil) && !b.probing {
 		return
 	}
@@ -55,12 +61,12 @@
 		return
 	}
 	doublings := min(b.failures-failuresToOpen, 16)
-	rest := min(firstRest<<doublings, longestRest)
-	b.rest(now, jitter(random, rest))
+	openTime := min(minOpenTime<<doublings, maxOpenTime)
+	b.openFor(now, jitter(random, openTime))
 }
 
-// rest keeps the breaker open for a time without counting a failure.
-func (b *breaker) rest(now time.Time, duration time.Duration) {
+// openFor keeps the breaker open for at least the duration, without counting a failure.
+func (b *breaker) openFor(now time.Time, duration time.Duration) {
 	b.probing = false
 	until := now.Add(duration)
 	if until.After(b.openUntil) {
@@ -68,7 +74,7 @@
 	}
 }
 
-// jitter returns between half and the whole of a duration.
+// jitter returns a random duration between half of the given one and all of it.
 func jitter(random *rand.Rand, duration time.Duration) time.Duration {
 	half := int64(duration / 2)
 	return time.Duration(half + random.Int64N(half+1))
--- a/internal/router/filter_adapter.go
+++ b/internal/router/filter_adapter.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// AdapterFilter keeps endpoints on which the request's adapter is ready.
+// AdapterFilter keeps endpoints on which the adapter that the request needs is ready.
 type AdapterFilter struct{}
 
 // Keep implements Filter.
--- a/internal/router/filter_drain.go
+++ b/internal/router/filter_drain.go
@@ -1,6 +1,7 @@
 package router
 
-// DrainFilter keeps endpoints that take new work: not draining, not leaving.
+// DrainFilter keeps endpoints that accept new requests, which draining ones and those of
+// leaving servers don't.
 type DrainFilter struct{}
 
 // Keep implements Filter.
--- a/internal/router/filter_version.go
+++ b/internal/router/filter_version.go
@@ -1,7 +1,7 @@
 package router
 
-// VersionFilter keeps, for a stream that has begun, the endpoints of the same
-// version: a stream is never continued by other weights.
+// VersionFilter keeps, for a stream that has begun, only endpoints of the same model version,
+// because a stream must not be continued with other weights.
 type VersionFilter struct{}
 
 // Keep implements Filter.
--- a/internal/router/group.go
+++ b/internal/router/group.go
@@ -8,22 +8,25 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// hintLifetime is how long a load figure from elsewhere is believed; its
-// weight falls to nothing over this time.
-const hintLifetime = 5 * time.Second
+// reportedLoadTTL is how long a load figure that a server or the owner of a cell reported is
+// used. Its weight falls linearly to zero over this time.
+const reportedLoadTTL = 5 * time.Second
 
-// reportLag is how old the load figures in an owner's update may be: the lag of
-// the engine's figures, the period of reading them, and the way.
-const reportLag = 2 * time.Second
+// maxReportLag is how old the load figures in an owner's update may be on arrival: the sum of
+// the lag of the engine's figures, the period of polling them and the network latency.
+const maxReportLag = 2 * time.Second
 
-// group is the router's state of one base model or pool.
+// group is the router's state for one base model or pool.
 type group struct {
 	snapshot *directory.Snapshot
-	targets  []*target
-	// byKey also holds targets that left the snapshot with requests in flight.
+	// targets has the state of each endpoint in the snapshot, in the same order.
+	targets []*target
+	// byKey has, besides these, targets that are not in the snapshot any more but have
+	// requests in flight or an open breaker.
 	byKey map[targetKey]*target
 }
 
+// targetKey identifies an endpoint across snapshots.
 type targetKey struct {
 	server outside.ServerID
 	model  string
@@ -35,69 +38,72 @@
 	key      targetKey
 	endpoint *directory.Endpoint
 	inFlight int
-	// others estimates the requests of other nodes, measured at measuredAt.
-	others     float64
-	measuredAt time.Time
-	// grant is this node's part of the places, as of grantedAt.
+	// othersInFlight is the estimated number of requests of other nodes at measuredAt.
+	othersInFlight float64
+	measuredAt     time.Time
+	// grant is the number of requests that this node may have in flight by the load figures
+	// of grantedAt.
 	grant     int
 	grantedAt time.Time
-	// startedAt is when this node sent the newest request.
-	startedAt  time.Time
+	// lastSentAt is when this node sent its latest request.
+	lastSentAt time.Time
 	breaker    breaker
-	server     *server
+	server     *serverState
 	prefixSalt uint64
 }
 
-// refresh brings the group to the newest snapshot; nil if nothing is known.
+// refresh updates the group to the latest snapshot and returns it; nil if there never was a
+// snapshot of it.
 func (r *Router) refresh(shard *shard, name string, now time.Time) *group {
 	snapshot := r.config.Source.Snapshot(name)
-	known := shard.groups[name]
+	existing := shard.groups[name]
 	if snapshot == nil {
-		return known
+		return existing
 	}
-	if known == nil {
-		known = &group{byKey: map[targetKey]*target{}}
-		shard.groups[name] = known
+	if existing == nil {
+		existing = &group{byKey: map[targetKey]*target{}}
+		shard.groups[name] = existing
 	}
-	if known.snapshot != snapshot {
-		r.adopt(known, snapshot, now)
+	if existing.snapshot != snapshot {
+		r.applySnapshot(existing, snapshot, now)
 	}
-	return known
+	return existing
 }
 
-// adopt takes a snapshot over and keeps the counts of endpoints known before.
-func (r *Router) adopt(g *group, snapshot *directory.Snapshot, now time.Time) {
+// applySnapshot replaces the group's endpoints. Endpoints that it had before keep their state.
+func (r *Router) applySnapshot(g *group, snapshot *directory.Snapshot, now time.Time) {
 	g.snapshot = snapshot
 	g.targets = make([]*target, 0, len(snapshot.Endpoints))
 	for index := range snapshot.Endpoints {
 		endpoint := &snapshot.Endpoints[index]
 		key := targetKey{server: endpoint.Server, model: endpoint.Model, slot: endpoint.Slot}
-		known := g.byKey[key]
-		if known == nil {
-			known = &target{key: key, prefixSalt: saltOf(key), server: r.servers.use(key.server)}
-			g.byKey[key] = known
+		current := g.byKey[key]
+		if current == nil {
+			current = &target{key: key, prefixSalt: endpointSalt(key), server: r.servers.acquire(key.server)}
+			g.byKey[key] = current
 		}
-		known.endpoint = endpoint
-		if snapshot.MeasuredAt.After(known.measuredAt) {
-			r.learnReported(known, snapshot)
+		current.endpoint = endpoint
+		if snapshot.MeasuredAt.After(current.measuredAt) {
+			r.applyReportedLoad(current, snapshot)
 		}
-		g.targets = append(g.targets, known)
+		g.targets = append(g.targets, current)
 	}
-	r.forget(g, now)
+	r.removeUnlisted(g, now)
 }
 
-// learnReported takes the lagging load figures of a snapshot. They grant places
-// only if they can include all of this node's requests.
-func (r *Router) learnReported(target *target, snapshot *directory.Snapshot) {
+// applyReportedLoad updates the target's load from a snapshot, whose figures lag. The grant is
+// renewed only if the figures are sure to include all requests of this node.
+func (r *Router) applyReportedLoad(target *target, snapshot *directory.Snapshot) {
 	load := target.endpoint.Running + target.endpoint.Queued
-	target.learn(load, target.inFlight, snapshot.MeasuredAt)
-	if snapshot.MeasuredAt.Sub(target.startedAt) >= reportLag {
-		target.share(load, r.places(target), snapshot.Gateways, snapshot.MeasuredAt)
+	target.setMeasuredLoad(load, target.inFlight, snapshot.MeasuredAt)
+	if snapshot.MeasuredAt.Sub(target.lastSentAt) >= maxReportLag {
+		target.updateGrant(load, r.sharedLimit(target), snapshot.Gateways, snapshot.MeasuredAt)
 	}
 }
 
-// forget drops idle targets that are not in the snapshot.
-func (r *Router) forget(g *group, now time.Time) {
+// removeUnlisted removes the targets that are not in the snapshot, have no requests in flight
+// and whose breaker is closed or half-open.
+func (r *Router) removeUnlisted(g *group, now time.Time) {
 	if len(g.byKey) == len(g.targets) {
 		return
 	}
@@ -107,27 +113,30 @@
 	}
 	for key, target := range g.byKey {
 		if !listed[key] && target.inFlight == 0 && target.breaker.allows(now) {
-			r.servers.leave(target.server)
+			r.servers.release(target.server)
 			delete(g.byKey, key)
 		}
 	}
 }
 
-// learn takes a load figure that includes own requests of this node.
-func (t *target) learn(total, own int, at time.Time) {
-	t.others = float64(max(total-own, 0))
+// setMeasuredLoad estimates the requests of other nodes from a measured total that includes
+// own requests of this node.
+func (t *target) setMeasuredLoad(total, own int, at time.Time) {
+	t.othersInFlight = float64(max(total-own, 0))
 	t.measuredAt = at
 }
 
-// share grants this node its part of the places that a load figure, which
-// includes its own requests, leaves free: the other gateways see the same.
-func (t *target) share(load, places, gateways int, now time.Time) {
-	t.grant = t.inFlight + divideUp(max(places-load, 0), gateways)
+// updateGrant grants this node its equal share of the free capacity, in addition to its own
+// requests in flight, which load includes. The capacity is divided because all gateways see
+// the same load figure.
+func (t *target) updateGrant(load, sharedLimit, gateways int, now time.Time) {
+	t.grant = t.inFlight + ceilDiv(max(sharedLimit-load, 0), gateways)
 	t.grantedAt = now
 }
 
-// allows reports whether neither the endpoint nor its server rests, and if one
-// does, when to look again; zero: when a probe of the endpoint ends.
+// allows reports whether the breakers of the endpoint and its server let a request through,
+// and if not, when to check again. That time may be past or zero while the endpoint is probed,
+// as the probe's end is not known.
 func (t *target) allows(now time.Time) (allowed bool, retryAt time.Time) {
 	if !t.breaker.allows(now) {
 		return false, t.breaker.openUntil
@@ -135,53 +144,57 @@
 	return t.server.allows(now)
 }
 
-// othersAt is the estimate of other nodes' requests, fading with age.
-func (t *target) othersAt(now time.Time) float64 {
+// othersInFlightAt is the estimated number of requests of other nodes. It decays linearly with
+// the age of the load figure.
+func (t *target) othersInFlightAt(now time.Time) float64 {
 	age := now.Sub(t.measuredAt)
-	if t.others == 0 || age >= hintLifetime {
+	if t.othersInFlight == 0 || age >= reportedLoadTTL {
 		return 0
 	}
 	if age <= 0 {
-		return t.others
+		return t.othersInFlight
 	}
-	return t.others * (1 - float64(age)/float64(hintLifetime))
+	return t.othersInFlight * (1 - float64(age)/float64(reportedLoadTTL))
 }
 
-// limit is how many requests this node may have at the endpoint: what the
-// others leave of its places, but at least this node's fair part and never less
-// than one. If it is known how many gateways send requests, it is also no more
-// than was granted by the newest load figure, so that the gateways together
-// don't take the same free places several times over.
+// limit is the number of requests that this node may have in flight at the endpoint: what
+// other nodes leave of the shared limit, but at least an equal share of it and never less than
+// one. If the number of gateways that send requests is known, what exceeds the equal share is
+// also bounded by the grant of the latest load figure, so that several gateways don't use the
+// same free capacity at once.
 func (r *Router) limit(group *group, target *target, now time.Time) int {
-	places := r.places(target)
-	left := places - int(math.Ceil(target.othersAt(now)))
+	sharedLimit := r.sharedLimit(target)
+	remaining := sharedLimit - int(math.Ceil(target.othersInFlightAt(now)))
 	gateways := group.snapshot.Gateways
 	if gateways <= 0 {
-		return max(left, divideUp(places, r.config.Gateways()), 1)
+		return max(remaining, ceilDiv(sharedLimit, r.config.Gateways()), 1)
 	}
-	if now.Sub(target.grantedAt) >= hintLifetime {
-		left = 0
+	if now.Sub(target.grantedAt) >= reportedLoadTTL {
+		remaining = 0
 	}
-	return max(min(left, target.grant), divideUp(places, gateways), 1)
+	return max(min(remaining, target.grant), ceilDiv(sharedLimit, gateways), 1)
 }
 
-// places of an endpoint for all gateways together.
-func (r *Router) places(target *target) int {
+// sharedLimit is the number of requests that all gateways together may have in flight at the
+// endpoint.
+func (r *Router) sharedLimit(target *target) int {
 	return int(math.Ceil(float64(max(target.endpoint.MaxBatch, 1)) * r.config.Slack))
 }
 
-func divideUp(dividend, divisor int) int {
+// ceilDiv divides and rounds up. A divisor below one counts as one.
+func ceilDiv(dividend, divisor int) int {
 	divisor = max(divisor, 1)
 	return (dividend + divisor - 1) / divisor
 }
 
+// candidate returns the endpoint as a candidate without a score.
 func (t *target) candidate(limit int, now time.Time) Candidate {
 	return Candidate{
-		Endpoint: t.endpoint,
-		InFlight: t.inFlight,
-		Limit:    limit,
-		Others:   t.othersAt(now),
-		Salt:     t.prefixSalt,
-		target:   t,
+		Endpoint:       t.endpoint,
+		InFlight:       t.inFlight,
+		Limit:          limit,
+		OthersInFlight: t.othersInFlightAt(now),
+		Salt:           t.prefixSalt,
+		target:         t,
 	}
 }
--- a/internal/router/picker.go
+++ b/internal/router/picker.go
@@ -2,13 +2,13 @@
 
 import "math/rand/v2"
 
-// TwoChoices takes the better scored of two random candidates, and of the
-// preferred one if there is any. Taking the best of all would send the
-// requests of all nodes to the one endpoint that looked best a moment ago.
-type TwoChoices struct{}
+// PowerOfTwoChoices picks the candidate with the highest score among two random ones and the
+// preferred ones. Picking the best of all would make all nodes send their requests to the same
+// endpoint, the one that scored best by the last load figures.
+type PowerOfTwoChoices struct{}
 
 // Pick implements Picker.
-func (TwoChoices) Pick(random *rand.Rand, candidates []Candidate) int {
+func (PowerOfTwoChoices) Pick(random *rand.Rand, candidates []Candidate) int {
 	count := len(candidates)
 	if count == 1 {
 		return 0
@@ -27,6 +27,7 @@
 	return best
 }
 
+// better returns the index of the higher score; the first on a tie.
 func better(candidates []Candidate, first, second int) int {
 	if candidates[second].Score > candidates[first].Score {
 		return second
--- a/internal/router/pipeline.go
+++ b/internal/router/pipeline.go
@@ -6,60 +6,61 @@
 	"github.com/hatchplank/hatchplank/internal/directory"
 )
 
-// Candidate is an endpoint under consideration.
+// Candidate is an endpoint that is considered for a request.
 type Candidate struct {
 	Endpoint *directory.Endpoint
-	// InFlight requests of this node and their limit.
+	// InFlight is the number of requests that this node has at the endpoint, Limit the
+	// highest number that it may have.
 	InFlight, Limit int
-	// Others estimates the requests of other nodes.
-	Others float64
+	// OthersInFlight is the estimated number of requests of other nodes at the endpoint.
+	OthersInFlight float64
 	// Salt is a hash of the endpoint's identity.
 	Salt uint64
-	// Score is the sum of the scorers' weighted figures, higher is better.
+	// Score is the sum of the scorers' weighted figures. Higher is better.
 	Score float64
-	// Preferred: the endpoint likely to hold the prompt's prefix.
+	// Preferred is set if the endpoint probably has the prompt's prefix cached.
 	Preferred bool
 
 	target *target
 }
 
-// load is the candidate's load relative to its batch.
-func (c *Candidate) load() float64 {
-	return (float64(c.InFlight) + c.Others) / float64(max(c.Endpoint.MaxBatch, 1))
+// relativeLoad is the number of requests at the endpoint relative to its batch size.
+func (c *Candidate) relativeLoad() float64 {
+	return (float64(c.InFlight) + c.OthersInFlight) / float64(max(c.Endpoint.MaxBatch, 1))
 }
 
-// Filter decides whether an endpoint may take a request.
+// Filter decides whether an endpoint can serve a request. An endpoint is a candidate only if
+// all filters keep it.
 //
-// Contract: Keep is a pure function of its arguments, changes neither and does
-// not keep them. All filters must agree for an endpoint to be kept.
+// Implementations of Keep must be pure functions: they neither change their arguments nor
+// retain them.
 type Filter interface {
 	Keep(candidate *Candidate, request *Request) bool
 }
 
-// Scorer weighs the candidates against each other.
+// Scorer rates the candidates.
 //
-// Contract: Score adds to each candidate's Score a figure between 0 and weight,
-// higher for a better one. It changes nothing else but Preferred, and keeps
-// nothing.
+// Implementations of Score add a figure between 0 and weight to each candidate's Score, higher
+// for a better candidate. They change nothing else but Preferred and retain nothing.
 type Scorer interface {
 	Score(candidates []Candidate, request *Request, weight float64)
 }
 
-// WeightedScorer is a scorer with its weight against the others.
+// WeightedScorer is a scorer with its weight relative to the other scorers.
 type WeightedScorer struct {
 	Scorer Scorer
 	Weight float64
 }
 
-// Picker takes one of the scored candidates.
+// Picker selects one of the scored candidates.
 //
-// Contract: Pick returns an index of candidates, of which there is at least
-// one. Its only source of chance is random.
+// Pick is called with at least one candidate and returns an index into candidates.
+// Implementations use no other source of randomness than random.
 type Picker interface {
 	Pick(random *rand.Rand, candidates []Candidate) int
 }
 
-// The default weights: load outweighs each other scorer alone.
+// Weights of the default scorers. Load outweighs each other scorer on its own.
 const (
 	loadWeight    = 4
 	versionWeight = 2
@@ -68,12 +69,13 @@
 	adapterWeight = 0.25
 )
 
-// DefaultFilters returns the filters of a node.
+// DefaultFilters returns the filters that a Router uses unless others are configured.
 func DefaultFilters() []Filter {
 	return []Filter{DrainFilter{}, VersionFilter{}, AdapterFilter{}}
 }
 
-// DefaultScorers returns the scorers of a node in the zone.
+// DefaultScorers returns the scorers that a Router of a node in the zone uses unless others
+// are configured.
 func DefaultScorers(zone string) []WeightedScorer {
 	return []WeightedScorer{
 		{Scorer: LoadScorer{}, Weight: loadWeight},
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,5 +1,5 @@
-// Package router chooses the endpoint for a request: filters leave the
-// endpoints that may take it, scorers weigh them, and a picker takes one.
+// Package router selects the endpoint for a request: filters exclude the endpoints that can't
+// serve it, scorers rate the others, and a picker selects one of these.
 package router
 
 import (
@@ -14,71 +14,75 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// shardCount is the number of independently locked parts of the router.
+// shardCount is the number of independently locked shards of the router.
 const shardCount = 16
 
-// Request is what the choice depends on.
+// Request has the properties of a request that the selection depends on.
 type Request struct {
-	// Adapter must be ready on the endpoint; empty: none needed.
+	// Adapter is the adapter that must be ready on the endpoint; empty if none is needed.
 	Adapter string
-	// Version is preferred.
+	// Version is the preferred model version.
 	Version string
-	// PinnedVersion is required, because a stream begun with it goes on.
+	// PinnedVersion is the required model version, that of the stream that the request
+	// continues; empty if any version will do.
 	PinnedVersion string
-	// PrefixHash of the prompt; 0: no prefix.
+	// PrefixHash is the hash of the prompt's prefix; 0 if it has none.
 	PrefixHash uint64
-	// Avoid is a server that failed this request; taken only if there is no
-	// other.
+	// Avoid is a server that failed this request. It is used only if there is no other.
 	Avoid outside.ServerID
 }
 
-// Verdict says how a choice came out.
+// Verdict is the kind of result of Pick.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts of Pick.
 const (
-	// Reserved: a place was reserved; Done must be called for it.
+	// Reserved means that a request slot was reserved; Done must be called for it.
 	Reserved Verdict = iota
-	// Full: endpoints could take the request, but have no free place.
+	// Full means that no endpoint accepts the request now, and at least one of those that can
+	// serve it doesn't because this node has reached its limit there.
 	Full
-	// CircuitOpen: all endpoints that could take the request failed lately.
+	// CircuitOpen means that the circuit breakers of all endpoints that can serve the request
+	// are open.
 	CircuitOpen
-	// NoEndpoint: no endpoint can take the request.
+	// NoEndpoint means that no endpoint can serve the request.
 	NoEndpoint
 )
 
-// Choice is the outcome of Pick.
+// Choice is the result of Pick.
 type Choice struct {
 	Verdict     Verdict
 	Reservation Reservation
-	// RetryAt is when the first resting endpoint may be tried again; zero if
-	// that is not known.
+	// RetryAt is the earliest time at which a circuit breaker lets a probe through; zero if
+	// not known.
 	RetryAt time.Time
 }
 
-// Reservation is a reserved place at an endpoint.
+// Reservation is a request slot that is reserved at an endpoint.
 type Reservation struct {
-	Group    string
+	Group string
+	// Endpoint is the endpoint as it was listed when the slot was reserved.
 	Endpoint directory.Endpoint
 	target   *target
 }
 
-// Source gives the endpoints of a group: a base model or a back-end pool.
+// Source provides the endpoints of a group: a base model or a back-end pool.
 type Source interface {
+	// Snapshot returns the group's endpoints; nil if the group is unknown.
 	Snapshot(group string) *directory.Snapshot
 }
 
-// Config assembles a Router. Zero values mean the defaults.
+// Config configures a Router. Gateways, Slack, Filters, Scorers and Picker have defaults.
 type Config struct {
 	Clock  clock.Clock
 	Random *rand.Rand
 	Source Source
-	// Zone of this node.
+	// Zone is the zone of this node.
 	Zone string
-	// Gateways returns how many nodes share the endpoints; nil: one.
+	// Gateways returns the number of nodes that share the endpoints; nil means one.
 	Gateways func() int
-	// Slack is the factor by which more than MaxBatch requests may be at an
-	// endpoint, so that it never waits for the next.
+	// Slack times MaxBatch is the number of requests that may be in flight at an endpoint.
+	// It is above 1 so that the engine has the next request queued when one ends.
 	Slack float64
 	// Filters, Scorers and Picker replace the defaults if set.
 	Filters []Filter
@@ -86,25 +90,27 @@
 	Picker  Picker
 }
 
-// DefaultSlack keeps a quarter of a batch waiting at the engine.
+// DefaultSlack allows a quarter of a batch to be queued at the engine.
 const DefaultSlack = 1.25
 
-// Router counts the requests in flight at each endpoint and chooses by them.
-// It is safe for concurrent use.
+// Router selects endpoints and counts this node's requests in flight at each. It is safe for
+// concurrent use.
 type Router struct {
 	config  Config
 	shards  [shardCount]shard
-	servers servers
+	servers serverStates
 }
 
+// shard is the part of the router's state for the groups whose names hash to it.
 type shard struct {
-	mutex   sync.Mutex
-	random  *rand.Rand
-	groups  map[string]*group
+	mutex  sync.Mutex
+	random *rand.Rand
+	groups map[string]*group
+	// scratch is reused for the candidates of each Pick.
 	scratch []Candidate
 }
 
-// New returns a router.
+// New returns a router without groups.
 func New(config Config) *Router {
 	if config.Slack <= 0 {
 		config.Slack = DefaultSlack
@@ -119,9 +125,9 @@
 		config.Scorers = DefaultScorers(config.Zone)
 	}
 	if config.Picker == nil {
-		config.Picker = TwoChoices{}
+		config.Picker = PowerOfTwoChoices{}
 	}
-	router := &Router{config: config, servers: servers{byID: map[outside.ServerID]*server{}}}
+	router := &Router{config: config, servers: serverStates{byID: map[outside.ServerID]*serverState{}}}
 	for index := range router.shards {
 		shard := &router.shards[index]
 		shard.groups = map[string]*group{}
@@ -134,7 +140,7 @@
 	return &r.shards[xxhash.Sum64String(name)%shardCount]
 }
 
-// Pick chooses an endpoint of the group and reserves a place at it.
+// Pick selects an endpoint of the group and reserves a request slot there.
 func (r *Router) Pick(name string, request *Request) Choice {
 	now := r.config.Clock.Now()
 	shard := r.shardOf(name)
@@ -151,20 +157,20 @@
 	r.score(candidates, request)
 	target := candidates[r.config.Picker.Pick(shard.random, candidates)].target
 	target.inFlight++
-	target.startedAt = now
-	target.breaker.begin()
-	target.server.begin()
+	target.lastSentAt = now
+	target.breaker.recordRequest()
+	target.server.recordRequest()
 	return Choice{Reservation: Reservation{Group: name, Endpoint: *target.endpoint, target: target}}
 }
 
-// candidates returns the endpoints that may take the request, in the shard's
-// scratch space, or why there is none.
+// candidates returns the endpoints that accept the request now, in the shard's scratch space.
+// If there are none, the returned choice has the reason.
 func (r *Router) candidates(shard *shard, group *group, request *Request, now time.Time) ([]Candidate, Choice) {
 	candidates := shard.scratch[:0]
 	choice := Choice{Verdict: NoEndpoint}
 	for _, target := range group.targets {
 		candidates = append(candidates, target.candidate(r.limit(group, target, now), now))
-		if !r.takes(&candidates[len(candidates)-1], request, now, &choice) {
+		if !r.accepts(&candidates[len(candidates)-1], request, now, &choice) {
 			candidates = candidates[:len(candidates)-1]
 		}
 	}
@@ -172,14 +178,14 @@
 	return withoutAvoided(candidates, request.Avoid), choice
 }
 
-// takes reports whether the endpoint may take the request now; if only for the
-// moment it may not, the choice is told why.
-func (r *Router) takes(candidate *Candidate, request *Request, now time.Time, choice *Choice) bool {
-	if !r.keep(candidate, request) {
+// accepts reports whether the endpoint accepts the request now. If it can serve the request,
+// but not now, the reason is recorded in the choice.
+func (r *Router) accepts(candidate *Candidate, request *Request, now time.Time, choice *Choice) bool {
+	if !r.passesFilters(candidate, request) {
 		return false
 	}
 	if allowed, retryAt := candidate.target.allows(now); !allowed {
-		choice.rest(retryAt, now)
+		choice.recordOpenCircuit(retryAt, now)
 		return false
 	}
 	if candidate.InFlight >= candidate.Limit {
@@ -189,9 +195,10 @@
 	return true
 }
 
-// rest notes a resting endpoint; a full one counts more. An endpoint under
-// probe rests until the probe's end, whose time is not known.
-func (c *Choice) rest(until, now time.Time) {
+// recordOpenCircuit records that an endpoint's breaker is open. The verdict Full takes
+// precedence. A time that is past is ignored: the endpoint is being probed, and it is not known
+// when the probe ends.
+func (c *Choice) recordOpenCircuit(until, now time.Time) {
 	if c.Verdict == NoEndpoint {
 		c.Verdict = CircuitOpen
 	}
@@ -203,7 +210,8 @@
 	}
 }
 
-func (r *Router) keep(candidate *Candidate, request *Request) bool {
+// passesFilters reports whether all filters keep the candidate.
+func (r *Router) passesFilters(candidate *Candidate, request *Request) bool {
 	for _, filter := range r.config.Filters {
 		if !filter.Keep(candidate, request) {
 			return false
@@ -212,7 +220,7 @@
 	return true
 }
 
-// withoutAvoided drops the avoided server if others are left.
+// withoutAvoided removes the candidates of the avoided server if there are any others.
 func withoutAvoided(candidates []Candidate, avoid outside.ServerID) []Candidate {
 	if avoid == "" || len(candidates) < 2 {
 		return candidates
@@ -230,27 +238,29 @@
 	return candidates[:kept]
 }
 
+// score runs all scorers.
 func (r *Router) score(candidates []Candidate, request *Request) {
 	for _, weighted := range r.config.Scorers {
 		weighted.Scorer.Score(candidates, request, weighted.Weight)
 	}
 }
 
-// Capacity is what a group offers to this node.
+// Capacity is the capacity of a group for requests of this node.
 type Capacity struct {
-	// Usable endpoints: neither draining nor resting.
+	// Usable is the number of endpoints that are not draining and whose breakers let requests
+	// through.
 	Usable int
 	// Limit is the sum of this node's limits at the usable endpoints.
 	Limit int
-	// InFlight requests of this node at them.
+	// InFlight is the number of requests of this node at them.
 	InFlight int
-	// ReadyAt estimates the next replica; zero: not known.
+	// ReadyAt is the estimated time at which the next replica is ready; zero if not known.
 	ReadyAt time.Time
-	// Refused is set when no cell can load the model.
+	// Refused is the reason why no cell can load the model; empty if some can.
 	Refused string
 }
 
-// Capacity returns what the group offers now.
+// Capacity returns the group's current capacity.
 func (r *Router) Capacity(name string) Capacity {
 	now := r.config.Clock.Now()
 	shard := r.shardOf(name)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -25,18 +25,19 @@
 
 const model = "m"
 
-// set replaces the endpoints by a new snapshot.
+// set replaces the endpoints with a new snapshot.
 func (s fakeSource) set(endpoints ...directory.Endpoint) *directory.Snapshot {
 	s[model] = &directory.Snapshot{Group: model, Endpoints: endpoints}
 	return s[model]
 }
 
+// endpoint returns an endpoint in the router's zone with the changes applied.
 func endpoint(server string, change ...func(*directory.Endpoint)) directory.Endpoint {
-	made := directory.Endpoint{Server: outside.ServerID(server), Zone: "near", Model: model, Version: "2", MaxBatch: 4}
+	built := directory.Endpoint{Server: outside.ServerID(server), Zone: "near", Model: model, Version: "2", MaxBatch: 4}
 	for _, apply := range change {
-		apply(&made)
+		apply(&built)
 	}
-	return made
+	return built
 }
 
 func newRouter(gateways int) (*Router, fakeSource, *simulation.Loop) {
@@ -48,13 +49,13 @@
 	}), source, loop
 }
 
-func draining(e *directory.Endpoint)   { e.Draining = true }
-func oldVersion(e *directory.Endpoint) { e.Version = "1" }
-func far(e *directory.Endpoint)        { e.Zone = "far" }
-func withTone(e *directory.Endpoint)   { e.Adapters = []string{"tone", "other"} }
-func loaded(e *directory.Endpoint)     { e.Running = 4 }
+func draining(e *directory.Endpoint)        { e.Draining = true }
+func oldVersion(e *directory.Endpoint)      { e.Version = "1" }
+func inFarZone(e *directory.Endpoint)       { e.Zone = "far" }
+func withToneAdapter(e *directory.Endpoint) { e.Adapters = []string{"tone", "other"} }
+func loaded(e *directory.Endpoint)          { e.Running = 4 }
 
-var _ = DescribeTable("the choice between a and b",
+var _ = DescribeTable("the selection between a and b",
 	func(a, b func(*directory.Endpoint), request Request, expected string) {
 		for range 20 {
 			router, source, loop := newRouter(1)
@@ -68,92 +69,92 @@
 			Expect(choice.Reservation.Endpoint.Server).To(BeEquivalentTo(expected))
 		}
 	},
-	Entry("not the draining one", draining, far, Request{}, "b"),
-	Entry("none if both drain", draining, draining, Request{}, ""),
-	Entry("the version of the table", oldVersion, far, Request{Version: "2"}, "b"),
-	Entry("the old version if there is no other", oldVersion, draining, Request{Version: "2"}, "a"),
-	Entry("the pinned version", oldVersion, far, Request{PinnedVersion: "1"}, "a"),
-	Entry("none without the pinned version", far, far, Request{PinnedVersion: "1"}, ""),
-	Entry("the one with the adapter", far, withTone, Request{Adapter: "tone"}, "b"),
-	Entry("none without the adapter", far, far, Request{Adapter: "tone"}, ""),
-	Entry("the less loaded", loaded, far, Request{}, "b"),
-	Entry("the near one", far, func(*directory.Endpoint) {}, Request{}, "b"),
-	Entry("not the avoided one", func(*directory.Endpoint) {}, far, Request{Avoid: "a"}, "b"),
-	Entry("the avoided one if there is no other", func(*directory.Endpoint) {}, draining, Request{Avoid: "a"}, "a"),
-	Entry("the one with fewer adapters, for the bare model", withTone, func(*directory.Endpoint) {}, Request{}, "b"),
+	Entry("skips a draining endpoint", draining, inFarZone, Request{}, "b"),
+	Entry("finds none if both are draining", draining, draining, Request{}, ""),
+	Entry("prefers the version of the table", oldVersion, inFarZone, Request{Version: "2"}, "b"),
+	Entry("falls back to the old version", oldVersion, draining, Request{Version: "2"}, "a"),
+	Entry("requires the pinned version", oldVersion, inFarZone, Request{PinnedVersion: "1"}, "a"),
+	Entry("finds none without the pinned version", inFarZone, inFarZone, Request{PinnedVersion: "1"}, ""),
+	Entry("requires the adapter", inFarZone, withToneAdapter, Request{Adapter: "tone"}, "b"),
+	Entry("finds none without the adapter", inFarZone, inFarZone, Request{Adapter: "tone"}, ""),
+	Entry("prefers the endpoint with less load", loaded, inFarZone, Request{}, "b"),
+	Entry("prefers the node's own zone", inFarZone, func(*directory.Endpoint) {}, Request{}, "b"),
+	Entry("skips the avoided server", func(*directory.Endpoint) {}, inFarZone, Request{Avoid: "a"}, "b"),
+	Entry("falls back to the avoided server", func(*directory.Endpoint) {}, draining, Request{Avoid: "a"}, "a"),
+	Entry("prefers fewer adapters for a request without one", withToneAdapter, func(*directory.Endpoint) {}, Request{}, "b"),
 )
 
 var _ = Describe("Router", func() {
-	It("limits the requests in flight and gives places back", func() {
+	It("limits the requests in flight and releases their slots", func() {
 		router, source, _ := newRouter(1)
 		source.set(endpoint("a"))
-		var places []Reservation
+		var reservations []Reservation
 		for range 4 {
-			places = append(places, router.Pick(model, &Request{}).Reservation)
+			reservations = append(reservations, router.Pick(model, &Request{}).Reservation)
 		}
 		Expect(router.Pick(model, &Request{}).Verdict).To(Equal(Full))
-		router.Done(places[0], Succeeded, nil)
+		router.Done(reservations[0], Succeeded, nil)
 		Expect(router.Pick(model, &Request{}).Verdict).To(Equal(Reserved))
 	})
 
-	It("keeps its counts when the endpoints are told anew", func() {
+	It("keeps its counts when the endpoints are replaced", func() {
 		router, source, _ := newRouter(1)
 		source.set(endpoint("a"))
-		place := router.Pick(model, &Request{}).Reservation
+		reservation := router.Pick(model, &Request{}).Reservation
 		source.set(endpoint("b"))
 		Expect(router.Capacity(model).InFlight).To(BeZero())
 		source.set(endpoint("a"), endpoint("b"))
 		Expect(router.Capacity(model).InFlight).To(Equal(1))
-		router.Done(place, Succeeded, nil)
+		router.Done(reservation, Succeeded, nil)
 		Expect(router.Capacity(model).InFlight).To(BeZero())
 	})
 
-	It("leaves places to the other nodes, never less than its fair part", func() {
+	It("leaves capacity to other nodes, but keeps its equal share", func() {
 		router, source, loop := newRouter(2)
 		source.set(endpoint("a", loaded)).MeasuredAt = loop.Now()
 		Expect(router.Capacity(model).Limit).To(Equal(2))
-		place := router.Pick(model, &Request{}).Reservation
-		router.Done(place, Succeeded, &outside.LoadHint{Running: 1})
+		reservation := router.Pick(model, &Request{}).Reservation
+		router.Done(reservation, Succeeded, &outside.LoadHint{Running: 1})
 		Expect(router.Capacity(model).Limit).To(Equal(3))
-		loop.RunFor(2 * hintLifetime)
+		loop.RunFor(2 * reportedLoadTTL)
 		Expect(router.Capacity(model).Limit).To(Equal(4))
 	})
 
-	It("takes only its part of the free places if others send too", func() {
+	It("uses only its share of the free capacity if other nodes send too", func() {
 		router, source, loop := newRouter(9)
 		source.set(endpoint("a", func(e *directory.Endpoint) { e.MaxBatch = 12 })).Gateways = 3
 		Expect(router.Capacity(model).Limit).To(Equal(4))
-		place := router.Pick(model, &Request{}).Reservation
-		router.Done(place, Succeeded, &outside.LoadHint{Running: 1})
-		// Of the 11 free places, 4 are granted, whoever asks how often.
+		reservation := router.Pick(model, &Request{}).Reservation
+		router.Done(reservation, Succeeded, &outside.LoadHint{Running: 1})
+		// 4 of the 11 free slots are granted, however often capacity is requested.
 		for range 4 {
-			place = router.Pick(model, &Request{}).Reservation
+			reservation = router.Pick(model, &Request{}).Reservation
 		}
 		Expect(router.Pick(model, &Request{}).Verdict).To(Equal(Full))
-		router.Done(place, Succeeded, &outside.LoadHint{Running: 3})
+		router.Done(reservation, Succeeded, &outside.LoadHint{Running: 3})
 		Expect(router.Capacity(model).Limit).To(Equal(3 + 3))
-		loop.RunFor(2 * hintLifetime)
+		loop.RunFor(2 * reportedLoadTTL)
 		Expect(router.Capacity(model).Limit).To(Equal(4))
 	})
 
-	It("grants no places by a report that may be older than its own requests", func() {
+	It("renews no grant by a report that may be older than its own requests", func() {
 		router, source, loop := newRouter(9)
-		tell := func() {
+		reportIdle := func() {
 			idle := endpoint("a", func(e *directory.Endpoint) { e.MaxBatch = 12 })
 			snapshot := source.set(idle)
 			snapshot.Gateways, snapshot.MeasuredAt = 3, loop.Now()
 		}
-		tell()
+		reportIdle()
 		router.Pick(model, &Request{})
-		loop.RunFor(reportLag / 2)
-		tell()
+		loop.RunFor(maxReportLag / 2)
+		reportIdle()
 		Expect(router.Capacity(model).Limit).To(Equal(4))
-		loop.RunFor(reportLag)
-		tell()
+		loop.RunFor(maxReportLag)
+		reportIdle()
 		Expect(router.Capacity(model).Limit).To(Equal(1 + 4))
 	})
 
-	It("lets a failing endpoint rest, longer each time, and probes it once", func() {
+	It("opens the breaker of a failing endpoint, longer each time, and sends one probe", func() {
 		router, source, loop := newRouter(1)
 		source.set(endpoint("a"))
 		for range failuresToOpen {
@@ -161,20 +162,20 @@
 		}
 		first := router.Pick(model, &Request{})
 		Expect(first.Verdict).To(Equal(CircuitOpen))
-		Expect(first.RetryAt).To(BeTemporally("<=", loop.Now().Add(firstRest)))
+		Expect(first.RetryAt).To(BeTemporally("<=", loop.Now().Add(minOpenTime)))
 		loop.RunUntil(first.RetryAt)
 		probe := router.Pick(model, &Request{})
 		Expect(probe.Verdict).To(Equal(Reserved))
 		Expect(router.Pick(model, &Request{}).Verdict).To(Equal(CircuitOpen))
 		router.Done(probe.Reservation, Failed, nil)
 		second := router.Pick(model, &Request{})
-		Expect(second.RetryAt).To(BeTemporally(">=", loop.Now().Add(firstRest)))
+		Expect(second.RetryAt).To(BeTemporally(">=", loop.Now().Add(minOpenTime)))
 		loop.RunUntil(second.RetryAt)
 		router.ResponseStarted(router.Pick(model, &Request{}).Reservation)
 		Expect(router.Pick(model, &Request{}).Verdict).To(Equal(Reserved))
 	})
 
-	It("lets all endpoints of an unreachable server rest, and probes it once for all", func() {
+	It("opens the breaker for all endpoints of an unreachable server, and sends one probe for all", func() {
 		router, source, loop := newRouter(1)
 		groups := []string{model, "n", "o"}
 		for _, group := range groups {
@@ -195,14 +196,14 @@
 		Expect(probe.Verdict).To(Equal(Reserved))
 		waiting := router.Pick("o", &Request{})
 		Expect(waiting.Verdict).To(Equal(CircuitOpen))
-		Expect(waiting.RetryAt).To(Equal(loop.Now().Add(probeWait)))
+		Expect(waiting.RetryAt).To(Equal(loop.Now().Add(probePollPeriod)))
 		router.ResponseStarted(probe.Reservation)
 		for _, group := range groups {
 			Expect(router.Pick(group, &Request{}).Verdict).To(Equal(Reserved), group)
 		}
 	})
 
-	It("lets other endpoints of a server with a failing one go on", func() {
+	It("keeps using other endpoints of a server with a failing one", func() {
 		router, source, _ := newRouter(1)
 		source.set(endpoint("a"))
 		source["n"] = &directory.Snapshot{Group: "n", Endpoints: []directory.Endpoint{endpoint("a")}}
@@ -213,29 +214,29 @@
 		Expect(router.Pick("n", &Request{}).Verdict).To(Equal(Reserved))
 	})
 
-	It("counts the failures of requests in flight together as one", func() {
+	It("counts concurrent failures as one", func() {
 		router, source, loop := newRouter(1)
 		source.set(endpoint("a"))
-		var places []Reservation
+		var reservations []Reservation
 		for range 4 {
-			places = append(places, router.Pick(model, &Request{}).Reservation)
+			reservations = append(reservations, router.Pick(model, &Request{}).Reservation)
 		}
-		for _, place := range places {
-			router.Done(place, Failed, nil)
+		for _, reservation := range reservations {
+			router.Done(reservation, Failed, nil)
 		}
-		Expect(router.Pick(model, &Request{}).RetryAt).To(BeTemporally("<=", loop.Now().Add(firstRest)))
+		Expect(router.Pick(model, &Request{}).RetryAt).To(BeTemporally("<=", loop.Now().Add(minOpenTime)))
 	})
 
-	It("sends a prefix to the same endpoint until that is overrun", func() {
+	It("sends a prefix to the same endpoint until its load exceeds the bound", func() {
 		router, source, _ := newRouter(1)
 		source.set(endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d"))
 		request := Request{PrefixHash: HashPrefix([]byte("You are an admissions officer."))}
 		preferred := router.Pick(model, &request).Reservation
 		router.Done(preferred, Succeeded, nil)
 		for range 20 {
-			place := router.Pick(model, &request).Reservation
-			Expect(place.Endpoint.Server).To(Equal(preferred.Endpoint.Server))
-			router.Done(place, Succeeded, nil)
+			reservation := router.Pick(model, &request).Reservation
+			Expect(reservation.Endpoint.Server).To(Equal(preferred.Endpoint.Server))
+			router.Done(reservation, Succeeded, nil)
 		}
 		counts := map[outside.ServerID]int{}
 		for range 12 {
@@ -258,7 +259,7 @@
 	})
 })
 
-// BenchmarkPick measures one choice among 18 endpoints.
+// BenchmarkPick measures one selection among 18 endpoints.
 func BenchmarkPick(bm *testing.B) {
 	router, source, _ := newRouter(4)
 	var endpoints []directory.Endpoint
@@ -274,13 +275,13 @@
 }
 
 var _ = Describe("Breaker", func() {
-	It("rests no longer than the bound", func() {
+	It("stays open no longer than the maximum", func() {
 		random := rand.New(rand.NewPCG(3, 4))
 		now := time.Unix(0, 0)
 		var b breaker
 		for range 40 {
-			b.fail(now, random)
-			Expect(b.openUntil.Sub(now)).To(BeNumerically("<=", longestRest))
+			b.recordFailure(now, random)
+			Expect(b.openUntil.Sub(now)).To(BeNumerically("<=", maxOpenTime))
 			if b.openUntil.After(now) {
 				now = b.openUntil
 			}
--- a/internal/router/scorer_adapter.go
+++ b/internal/router/scorer_adapter.go
@@ -1,7 +1,7 @@
 package router
 
-// AdapterScorer sends requests for the bare base model to endpoints with fewer
-// adapters, which leaves the others to the adapters' requests.
+// AdapterScorer prefers endpoints with fewer adapters for requests that need none, which
+// leaves the other endpoints to requests for their adapters.
 type AdapterScorer struct{}
 
 // Score implements Scorer.
--- a/internal/router/scorer_prefix.go
+++ b/internal/router/scorer_prefix.go
@@ -2,17 +2,17 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// A preferred endpoint's load, relative to its batch, may exceed the mean by a
-// factor and a tenth of the batch before affinity gives way. With the factor
-// alone a few requests more were too many at endpoints with little to do.
+// Bounds of a preferred endpoint's load. Relative to its batch size, the load may be up to
+// maxLoadFactor times the mean plus maxLoadExcess; beyond that, another endpoint is preferred.
+// With the factor alone, a few more requests at nearly idle endpoints exceeded the bound.
 const (
-	boundedLoad = 1.25
-	loadSlack   = 0.1
+	maxLoadFactor = 1.25
+	maxLoadExcess = 0.1
 )
 
-// PrefixScorer prefers one endpoint per prompt prefix, by rendezvous hashing
-// with bounded load, so that the prefix cache is hit and yet no endpoint is
-// overrun by one popular prefix.
+// PrefixScorer prefers one endpoint for each prompt prefix, so that requests hit its prefix
+// cache. It uses rendezvous hashing with bounded load, so that a popular prefix doesn't
+// overload one endpoint.
 type PrefixScorer struct{}
 
 // Score implements Scorer.
@@ -20,16 +20,16 @@
 	if request.PrefixHash == 0 || len(candidates) == 0 {
 		return
 	}
-	bound := boundedLoad*meanLoad(candidates) + loadSlack
+	bound := maxLoadFactor*meanLoad(candidates) + maxLoadExcess
 	best := -1
-	var highest uint64
+	var highestRank uint64
 	for index := range candidates {
-		if candidates[index].load() > bound {
+		if candidates[index].relativeLoad() > bound {
 			continue
 		}
-		rank := mix(candidates[index].Salt ^ request.PrefixHash)
-		if best < 0 || rank > highest {
-			best, highest = index, rank
+		rank := mixBits(candidates[index].Salt ^ request.PrefixHash)
+		if best < 0 || rank > highestRank {
+			best, highestRank = index, rank
 		}
 	}
 	if best >= 0 {
@@ -38,20 +38,20 @@
 	}
 }
 
-// meanLoad is the mean over the candidates with one request more, so that an
-// idle pool has a bound above zero.
+// meanLoad is the mean relative load of the candidates with one more request among them, so
+// that the bound of idle candidates is above zero.
 func meanLoad(candidates []Candidate) float64 {
 	sum := 0.0
 	batch := 0
 	for index := range candidates {
-		sum += candidates[index].load()
+		sum += candidates[index].relativeLoad()
 		batch += max(candidates[index].Endpoint.MaxBatch, 1)
 	}
 	return sum/float64(len(candidates)) + 1/float64(batch)
 }
 
-// mix spreads a hash's bits (the finalizer of SplitMix64).
-func mix(value uint64) uint64 {
+// mixBits spreads the bits of a hash over the whole word (the finalizer of SplitMix64).
+func mixBits(value uint64) uint64 {
 	value ^= value >> 30
 	value *= 0xbf58476d1ce4e5b9
 	value ^= value >> 27
@@ -59,11 +59,12 @@
 	return value ^ value>>31
 }
 
-func saltOf(key targetKey) uint64 {
+// endpointSalt returns a hash of the endpoint's server and slot.
+func endpointSalt(key targetKey) uint64 {
 	return xxhash.Sum64String(string(key.server)) + uint64(key.slot)*0x9e3779b97f4a7c15
 }
 
-// HashPrefix returns the hash of a prompt's start; never 0 unless empty.
+// HashPrefix returns the hash of a prompt's prefix. It is 0 only if the prefix is empty.
 func HashPrefix(prefix []byte) uint64 {
 	if len(prefix) == 0 {
 		return 0
--- a/internal/router/scorer_version.go
+++ b/internal/router/scorer_version.go
@@ -1,7 +1,7 @@
 package router
 
-// VersionScorer prefers the version that the table names. While replicas are
-// replaced one by one, those of the version before go on serving.
+// VersionScorer prefers endpoints of the version that the table names. During a rolling
+// update, replicas of the previous version continue to serve.
 type VersionScorer struct{}
 
 // Score implements Scorer.
--- a/internal/router/scorer_zone.go
+++ b/internal/router/scorer_zone.go
@@ -2,6 +2,7 @@
 
 // ZoneScorer prefers endpoints in the node's own zone.
 type ZoneScorer struct {
+	// Zone is the node's zone.
 	Zone string
 }
 
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -9,58 +9,58 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// probeWait is when a server under probe by another group is looked at again:
-// no group is told of the end of another's probe.
-const probeWait = 50 * time.Millisecond
+// probePollPeriod is how long a group waits before it checks a server again that another
+// group is probing. Groups are not notified when another group's probe ends.
+const probePollPeriod = 50 * time.Millisecond
 
-// servers holds the circuit breakers of servers, which all groups share: a dead
-// server with many models is found once. Its lock and those of the servers are
-// taken under a shard's lock, never the other way round.
-type servers struct {
+// serverStates holds the circuit breakers of servers, which all groups share, so that an
+// unreachable server that serves many models has to be detected only once. Lock order: a
+// shard's lock is taken before this one or that of a serverState, never after.
+type serverStates struct {
 	mutex sync.Mutex
-	byID  map[outside.ServerID]*server
+	byID  map[outside.ServerID]*serverState
 }
 
-// server is the health of one server.
-type server struct {
+// serverState is the health of one server.
+type serverState struct {
 	id outside.ServerID
-	// users is the number of targets on the server, under servers.mutex.
-	users int
-	// troubled is set while failures count, so that a healthy server costs no
-	// lock.
-	troubled atomic.Bool
+	// targetCount is the number of targets on the server; serverStates.mutex guards it.
+	targetCount int
+	// hasFailures is set from a failure until the next response, so that the mutex is not
+	// taken for healthy servers.
+	hasFailures atomic.Bool
 
 	mutex   sync.Mutex
 	breaker breaker
 }
 
-// use returns a server's state for one more target.
-func (s *servers) use(id outside.ServerID) *server {
+// acquire returns a server's state and counts one more target that uses it.
+func (s *serverStates) acquire(id outside.ServerID) *serverState {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known := s.byID[id]
-	if known == nil {
-		known = &server{id: id}
-		s.byID[id] = known
+	state := s.byID[id]
+	if state == nil {
+		state = &serverState{id: id}
+		s.byID[id] = state
 	}
-	known.users++
-	return known
+	state.targetCount++
+	return state
 }
 
-// leave forgets a server when its last target is forgotten.
-func (s *servers) leave(left *server) {
+// release counts one target less, and deletes the server's state with the last one.
+func (s *serverStates) release(state *serverState) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	left.users--
-	if left.users == 0 {
-		delete(s.byID, left.id)
+	state.targetCount--
+	if state.targetCount == 0 {
+		delete(s.byID, state.id)
 	}
 }
 
-// allows reports whether the server may be called, and if not, when to look
-// again.
-func (s *server) allows(now time.Time) (allowed bool, retryAt time.Time) {
-	if !s.troubled.Load() {
+// allows reports whether the breaker lets a request through to the server, and if not, when
+// to check again.
+func (s *serverState) allows(now time.Time) (allowed bool, retryAt time.Time) {
+	if !s.hasFailures.Load() {
 		return true, time.Time{}
 	}
 	s.mutex.Lock()
@@ -69,61 +69,64 @@
 		return true, time.Time{}
 	}
 	if s.breaker.probing {
-		return false, now.Add(probeWait)
+		return false, now.Add(probePollPeriod)
 	}
 	return false, s.breaker.openUntil
 }
 
-// begin notes a request.
-func (s *server) begin() {
-	if !s.troubled.Load() {
+// recordRequest records that a request is sent. If the breaker is half-open, the request is
+// its probe.
+func (s *serverState) recordRequest() {
+	if !s.hasFailures.Load() {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.breaker.begin()
+	s.breaker.recordRequest()
 }
 
-// answered closes the breaker: the server lives.
-func (s *server) answered() {
-	if !s.troubled.Load() {
+// recordResponse closes the breaker after a response from the server.
+func (s *serverState) recordResponse() {
+	if !s.hasFailures.Load() {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.breaker.succeed()
-	s.troubled.Store(false)
+	s.breaker.recordSuccess()
+	s.hasFailures.Store(false)
 }
 
-// settle learns from an attempt's outcome.
-func (s *server) settle(outcome Outcome, now time.Time, random *rand.Rand) {
+// recordOutcome updates the breaker with an attempt's outcome.
+func (s *serverState) recordOutcome(outcome Outcome, now time.Time, random *rand.Rand) {
 	switch outcome {
 	case Succeeded, Busy:
-		s.answered()
+		s.recordResponse()
 	case Unreachable:
-		s.unreachable(now, random)
+		s.recordUnreachable(now, random)
 	case Failed, Neutral:
-		s.undecided(outcome, now, random)
+		s.recordInconclusive(outcome, now, random)
 	}
 }
 
-func (s *server) unreachable(now time.Time, random *rand.Rand) {
+// recordUnreachable counts a failure of the server.
+func (s *serverState) recordUnreachable(now time.Time, random *rand.Rand) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.troubled.Store(true)
-	s.breaker.fail(now, random)
+	s.hasFailures.Store(true)
+	s.breaker.recordFailure(now, random)
 }
 
-// undecided handles an outcome that says nothing certain about the server: a
-// probe that failed is no proof that it lives.
-func (s *server) undecided(outcome Outcome, now time.Time, random *rand.Rand) {
-	if !s.troubled.Load() {
+// recordInconclusive handles an outcome that doesn't show whether the server is reachable. It
+// only ends a probe. A failed probe reopens the breaker, because it doesn't prove that the
+// server works; after a neutral one, another request may probe.
+func (s *serverState) recordInconclusive(outcome Outcome, now time.Time, random *rand.Rand) {
+	if !s.hasFailures.Load() {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if outcome == Failed && s.breaker.probing {
-		s.breaker.fail(now, random)
+		s.breaker.recordFailure(now, random)
 		return
 	}
 	s.breaker.probing = false
