--- a/internal/placement/adapters.go
+++ b/internal/placement/adapters.go
@@ -50,7 +50,7 @@
 }
 
 // placeAdapter loads the adapter on the server that holds its model with the fewest
-// adapters. If that server has no capacity left, another adapter is unloaded first.
+// adapters. If that server has no slot or memory left, another adapter is unloaded first.
 func (p *plan) placeAdapter(w wantedAdapter) {
 	var best *Server
 	for i := range p.Servers {
--- a/internal/placement/input.go
+++ b/internal/placement/input.go
@@ -46,7 +46,7 @@
 	FreeIn time.Duration
 	// Draining servers get no new work.
 	Draining bool
-	// Limited servers take MostPerSecond requests from all nodes together.
+	// Limited servers take MaxPerSecond requests from all nodes together.
 	Limited      bool
 	MaxPerSecond float64
 	// Suspect servers did not answer recently; nothing is planned on them.
--- a/internal/placement/load_ahead.go
+++ b/internal/placement/load_ahead.go
@@ -15,11 +15,11 @@
 	// maxLoadAheadShare is the largest share of the servers that may be loading when a load
 	// ahead begins: a loading server takes no other order, not even for an adapter.
 	maxLoadAheadShare = 1.0 / 8
-	// minFreePlacesPerModel is how many servers must have free memory for each model that no
+	// minFreeServersPerModel is how many servers must have free memory for each model that no
 	// server holds. With fewer, most models loaded ahead are never requested and take the
 	// memory of those that are: a day of 13 servers without capacity for all models lost
 	// 0.10 of its worth by it.
-	minFreePlacesPerModel = 2
+	minFreeServersPerModel = 2
 )
 
 // loadAhead loads models that no server holds into free memory, before they are requested.
@@ -33,7 +33,7 @@
 	allowed := p.storeLoads - reservedStoreLoads
 	allowed = min(allowed, max(1, int(maxLoadAheadShare*float64(len(p.Servers)+p.ServersElsewhere)))-p.loadingServers())
 	missing := p.modelsWithoutReplica()
-	if allowed <= 0 || len(missing) == 0 || p.freePlaces(missing) < minFreePlacesPerModel*len(missing) {
+	if allowed <= 0 || len(missing) == 0 || p.serversWithFreeMemory(missing) < minFreeServersPerModel*len(missing) {
 		return
 	}
 	for _, name := range missing[:min(allowed, len(missing))] {
@@ -55,20 +55,20 @@
 	return missing
 }
 
-// freePlaces estimates how many servers of the pool have free memory for the largest of
-// the models. It extrapolates from the servers of the input.
-func (p *plan) freePlaces(models []string) int {
+// serversWithFreeMemory estimates how many servers of the pool have free memory for the
+// largest of the models. It extrapolates from the servers of the input.
+func (p *plan) serversWithFreeMemory(models []string) int {
 	largest := 0.0
 	for _, name := range models {
 		largest = max(largest, p.Engine.Models[name].SizeMB)
 	}
-	places := 0
+	count := 0
 	for i := range p.Servers {
 		if server := &p.Servers[i]; !server.Draining && !server.Suspect && p.freeMemory(server) >= largest {
-			places++
+			count++
 		}
 	}
-	return places * (len(p.Servers) + p.ServersElsewhere) / max(len(p.Servers), 1)
+	return count * (len(p.Servers) + p.ServersElsewhere) / max(len(p.Servers), 1)
 }
 
 // loadingServers counts the servers that are loading a model.
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -100,7 +100,7 @@
 	},
 		Entry("twice", func(in *placement.Input) { in.Servers[0].Loading = "c" }),
 		Entry("on a busy server", func(in *placement.Input) { in.Servers[0].Busy = true }),
-		Entry("on a leaving server", func(in *placement.Input) { in.Servers[0].Draining = true }),
+		Entry("on a draining server", func(in *placement.Input) { in.Servers[0].Draining = true }),
 		Entry("on a server that does not answer", func(in *placement.Input) { in.Servers[0].Suspect = true }),
 		Entry("beyond the store's rate", func(in *placement.Input) { in.StoreLoads = 0 }),
 		Entry("of a model that is not configured", func(in *placement.Input) {
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -20,8 +20,8 @@
 	surplusFactor = 1.6
 	// minResidency is how long a replica is protected from eviction after its load.
 	minResidency = 2 * time.Second
-	// maxActiveAdapterShare is the share of a server's adapter capacity that adapters in
-	// use should take; above it the model gets another replica.
+	// maxActiveAdapterShare is the share of a server's adapter slots that adapters in use
+	// should take; above it the model gets another replica.
 	maxActiveAdapterShare = 0.6
 	// defaultLoadTime is assumed for models that are configured without a load time.
 	defaultLoadTime = 2 * time.Second
@@ -155,11 +155,11 @@
 			inUse++
 		}
 	}
-	places := maxActiveAdapterShare * float64(p.Engine.AdapterSlots)
-	if places < 1 || inUse == 0 {
+	slots := maxActiveAdapterShare * float64(p.Engine.AdapterSlots)
+	if slots < 1 || inUse == 0 {
 		return 0
 	}
-	return int(float64(inUse)/places) + 1
+	return int(float64(inUse)/slots) + 1
 }
 
 // wantedReplica is a replica that the demand calls for and that is missing.
