--- a/internal/orders/scale_test.go
+++ b/internal/orders/scale_test.go
@@ -215,7 +215,7 @@
 	for range 30 {
 		chosen := table.sample("p", demand, testStart)
 		planned := placement.Plan(&placement.Input{
-			Now: testStart, Engine: engine, Servers: chosen.servers, Elsewhere: chosen.elsewhere, ServersElsewhere: chosen.leftOut, Demand: demand,
+			Now: testStart, Engine: engine, Servers: chosen.servers, ReplicasElsewhere: chosen.elsewhere, ServersElsewhere: chosen.leftOut, Demand: demand,
 		})
 		for _, action := range planned.Actions {
 			g.Expect(action.Kind).To(Equal(placement.LoadAdapter))
@@ -288,7 +288,7 @@
 		for b.Loop() {
 			chosen := table.sample("p", demand, testStart)
 			placement.Plan(&placement.Input{
-				Now: testStart, Engine: engine, Servers: chosen.servers, Elsewhere: chosen.elsewhere, ServersElsewhere: chosen.leftOut, Demand: demand, StoreLoads: 100,
+				Now: testStart, Engine: engine, Servers: chosen.servers, ReplicasElsewhere: chosen.elsewhere, ServersElsewhere: chosen.leftOut, Demand: demand, StoreLoads: 100,
 			})
 		}
 	})
