--- a/internal/directory/backends.go
+++ b/internal/directory/backends.go
@@ -8,25 +8,27 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// DefaultBackEndConcurrency is how many requests one node has in flight at one
-// back-end server.
+// DefaultBackEndConcurrency is the default limit of the requests that one node has in flight at
+// one back-end server.
 const DefaultBackEndConcurrency = 64
 
-// BackEnds knows the servers of the pools that are no engines. It is safe for
-// concurrent use.
+// BackEnds has the servers of back-end pools, which are servers other than engines, from the
+// machine list. It is safe for concurrent use.
 type BackEnds struct {
-	// concurrency is the limit of requests in flight per server.
+	// concurrency is the limit of requests in flight for each server.
 	concurrency int
 
-	mutex       sync.RWMutex
-	version     uint64
-	pools       map[string]*Snapshot
+	mutex sync.RWMutex
+	// version is that of the last machine listing applied.
+	version uint64
+	pools   map[string]*Snapshot
+	// leaving has the servers that get no new requests.
 	leaving     map[outside.ServerID]bool
 	subscribers []func(pool string)
 }
 
-// NewBackEnds returns an empty table. Concurrency limits the requests in
-// flight per server; zero means the default.
+// NewBackEnds returns a BackEnds without pools. Concurrency is the limit of requests in flight
+// for each server; zero or less means the default.
 func NewBackEnds(concurrency int) *BackEnds {
 	if concurrency <= 0 {
 		concurrency = DefaultBackEndConcurrency
@@ -38,8 +40,8 @@
 	}
 }
 
-// Subscribe adds a function that is called, without a lock, after the servers
-// of a pool changed.
+// Subscribe adds a function that is called after the servers of a pool changed. The lock is not
+// held during the call.
 func (b *BackEnds) Subscribe(changed func(pool string)) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -53,8 +55,9 @@
 	return b.pools[pool]
 }
 
-// ApplyListing replaces the servers by those of a newer machine listing. A
-// pool that was once listed stays known when its last server is gone.
+// ApplyListing replaces the servers with those of a machine listing; a listing older than the
+// last one is ignored. A pool that was listed once is kept, without endpoints, when it has no
+// servers any more.
 func (b *BackEnds) ApplyListing(listing outside.MachineListing) {
 	b.mutex.Lock()
 	if listing.Version < b.version {
@@ -62,29 +65,30 @@
 		return
 	}
 	b.version = listing.Version
-	b.keepLeaving(listing)
-	fresh := b.snapshotsOf(listing)
+	b.updateLeaving(listing)
+	updated := b.snapshotsOf(listing)
 	for pool := range b.pools {
-		if fresh[pool] == nil {
-			fresh[pool] = &Snapshot{Group: pool}
+		if updated[pool] == nil {
+			updated[pool] = &Snapshot{Group: pool}
 		}
 	}
-	changed := changedPools(b.pools, fresh)
+	changed := changedPools(b.pools, updated)
 	for _, pool := range changed {
-		b.pools[pool] = fresh[pool]
+		b.pools[pool] = updated[pool]
 	}
 	b.mutex.Unlock()
 	b.notify(changed)
 }
 
-// MarkLeaving stops new work for a server before the machine list says so.
+// MarkLeaving stops new requests to a server that is leaving, even if the machine list doesn't
+// show that yet.
 func (b *BackEnds) MarkLeaving(server outside.ServerID) {
 	b.mutex.Lock()
 	b.leaving[server] = true
 	var changed []string
 	for _, pool := range slices.Sorted(maps.Keys(b.pools)) {
-		if marked := withDraining(b.pools[pool], server); marked != nil {
-			b.pools[pool] = marked
+		if updated := withDraining(b.pools[pool], server); updated != nil {
+			b.pools[pool] = updated
 			changed = append(changed, pool)
 		}
 	}
@@ -92,17 +96,19 @@
 	b.notify(changed)
 }
 
-// keepLeaving forgets marks of servers that are gone and adds those listed.
-func (b *BackEnds) keepLeaving(listing outside.MachineListing) {
-	marks := map[outside.ServerID]bool{}
+// updateLeaving marks the servers that are listed as leaving. It keeps the marks of other listed
+// servers and removes those of servers that are not listed.
+func (b *BackEnds) updateLeaving(listing outside.MachineListing) {
+	leaving := map[outside.ServerID]bool{}
 	for _, machine := range listing.Machines {
 		if machine.Phase == outside.MachineLeaving || b.leaving[machine.Server] {
-			marks[machine.Server] = true
+			leaving[machine.Server] = true
 		}
 	}
-	b.leaving = marks
+	b.leaving = leaving
 }
 
+// snapshotsOf returns a snapshot of each pool that has servers other than engines.
 func (b *BackEnds) snapshotsOf(listing outside.MachineListing) map[string]*Snapshot {
 	pools := map[string]*Snapshot{}
 	for _, machine := range listing.Machines {
@@ -124,6 +130,7 @@
 	return pools
 }
 
+// notify calls the subscribers for each pool. The lock must not be held.
 func (b *BackEnds) notify(pools []string) {
 	b.mutex.RLock()
 	subscribers := b.subscribers
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -15,132 +15,138 @@
 
 // Defaults of Config.
 const (
-	// DefaultReportPeriod is the period of reports for rows with traffic.
+	// DefaultReportPeriod is the period of reports on rows with traffic.
 	DefaultReportPeriod = 2 * time.Second
-	// DefaultRepeatPeriod is the period of reports for rows with waiting
-	// requests; it covers lost messages and changes of owner.
+	// DefaultRepeatPeriod is the period of reports on rows with waiting requests. Repeating
+	// them makes up for lost messages and changes of the owner.
 	DefaultRepeatPeriod = 500 * time.Millisecond
-	// DefaultCallTimeout limits one report.
+	// DefaultCallTimeout is the timeout of the call that sends one report.
 	DefaultCallTimeout = time.Second
-	// leavingMemory is how long a server is remembered as leaving.
-	leavingMemory = time.Hour
+	// leavingRetention is how long a server that is no longer listed stays marked as leaving.
+	leavingRetention = time.Hour
 )
 
-// DemandSource tells what the gateway's requests need. Implementations are
-// safe for concurrent use; the directory calls them without its lock.
+// DemandSource provides the demand of the gateway's requests. Implementations are safe for
+// concurrent use; the directory calls them without holding its lock.
 type DemandSource interface {
-	// DemandOf returns the demand for one row and starts a new count of
-	// arrivals.
+	// DemandOf returns the demand for one row, false if there is none, and restarts the
+	// count of its arrivals.
 	DemandOf(row string, now time.Time) (Demand, bool)
-	// Demands returns the demand for all rows with waiting requests, or, if
-	// all is set, for all rows with traffic in the last seconds. In order of
-	// row. It starts a new count of arrivals for the rows returned.
+	// Demands returns the demand for all rows with waiting requests or, if all is set, for
+	// all rows with traffic in the last seconds, ordered by row. It restarts the count of
+	// arrivals for the rows that it returns.
 	Demands(now time.Time, all bool) []Demand
 }
 
-// Config assembles a Directory.
+// Config configures a Directory.
 type Config struct {
 	Clock     clock.Clock
 	Transport peer.Transport
-	// Ownership tells to whom demand is reported.
+	// Ownership finds the owner of a cell, to which demand is reported.
 	Ownership membership.Ownership
 	// Cells returns the cells that may hold replicas of a base model.
 	Cells func(model string) []string
-	// Table tells an adapter's base model.
+	// Table has the base model of each adapter, and this node's revision of the table.
 	Table table.View
-	// Gateway is this node's member id, PeerAddress where it gets updates.
+	// Gateway is this node's member id, PeerAddress the address to which updates are sent.
 	Gateway     string
 	PeerAddress string
 	Logger      zerolog.Logger
-	// Zero periods mean the defaults.
+	// Durations that are zero or less mean the defaults.
 	ReportPeriod, RepeatPeriod, CallTimeout time.Duration
 }
 
-// Directory caches the endpoints of base models. What it knows is kept until
-// something newer is heard, so that calls go on while owners or the key-value
-// service are away.
+// Directory caches the endpoints of base models. An entry is kept until a newer update arrives,
+// so that requests are served while cell owners or the key-value service are unavailable. It is
+// safe for concurrent use.
 type Directory struct {
 	config Config
 
-	mutex       sync.RWMutex
-	models      map[string]*model
-	epochs      map[string]uint64
-	leaving     map[outside.ServerID]time.Time
+	mutex  sync.RWMutex
+	models map[string]*modelEndpoints
+	// epochs has the latest epoch of each cell.
+	epochs map[string]uint64
+	// leaving has the servers that get no new requests, with the time of the last mark.
+	leaving map[outside.ServerID]time.Time
+	// listed has the engines of the last machine listing.
 	listed      map[outside.ServerID]bool
 	subscribers []func(model string)
 
-	source     DemandSource
-	wanted     map[string]bool
-	flushArmed bool
-	sequence   uint64
-	nextReport time.Time
-	nextRepeat time.Time
+	source DemandSource
+	// pendingRows are the rows to report when the scheduled flush runs.
+	pendingRows    map[string]bool
+	flushScheduled bool
+	sequence       uint64
+	nextReport     time.Time
+	nextRepeat     time.Time
 }
 
-// model is what the cells told of one base model.
-type model struct {
-	cells    map[string]*cellPart
+// modelEndpoints has the endpoints of one base model: those that each cell reported, and the
+// snapshot that is merged from these.
+type modelEndpoints struct {
+	cells    map[string]*cellEndpoints
 	snapshot *Snapshot
 }
 
-// cellPart is the newest word of one cell about one base model.
-type cellPart struct {
+// cellEndpoints is the latest update of one cell about one base model.
+type cellEndpoints struct {
 	epoch, sequence uint64
 	receivedAt      time.Time
 	row             RowEndpoints
 }
 
-// New returns a directory and registers its handler with the transport.
+// New returns an empty directory and registers its handler for updates with the transport.
 func New(config Config) *Directory {
 	config.ReportPeriod = orDefault(config.ReportPeriod, DefaultReportPeriod)
 	config.RepeatPeriod = orDefault(config.RepeatPeriod, DefaultRepeatPeriod)
 	config.CallTimeout = orDefault(config.CallTimeout, DefaultCallTimeout)
 	directory := &Directory{
-		config:  config,
-		models:  map[string]*model{},
-		epochs:  map[string]uint64{},
-		leaving: map[outside.ServerID]time.Time{},
-		listed:  map[outside.ServerID]bool{},
-		wanted:  map[string]bool{},
+		config:      config,
+		models:      map[string]*modelEndpoints{},
+		epochs:      map[string]uint64{},
+		leaving:     map[outside.ServerID]time.Time{},
+		listed:      map[outside.ServerID]bool{},
+		pendingRows: map[string]bool{},
 	}
 	config.Transport.Handle(EndpointUpdate{}, directory.handleUpdate)
 	return directory
 }
 
-func orDefault(value, standard time.Duration) time.Duration {
+func orDefault(value, fallback time.Duration) time.Duration {
 	if value > 0 {
 		return value
 	}
-	return standard
+	return fallback
 }
 
-// SetDemandSource sets where demand is read. It is called once, at assembly.
+// SetDemandSource sets the source of the demand that is reported. It is called once, before
+// the directory is used.
 func (d *Directory) SetDemandSource(source DemandSource) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.source = source
 }
 
-// Subscribe adds a function that is called, without a lock, after the
-// endpoints of a base model changed.
+// Subscribe adds a function that is called after the endpoints of a base model changed. The
+// directory's lock is not held during the call.
 func (d *Directory) Subscribe(changed func(model string)) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.subscribers = append(d.subscribers, changed)
 }
 
-// Snapshot returns what is known of a base model; nil if nothing is.
+// Snapshot returns the cached endpoints of a base model; nil if no update named it.
 func (d *Directory) Snapshot(name string) *Snapshot {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
-	known := d.models[name]
-	if known == nil {
+	entry := d.models[name]
+	if entry == nil {
 		return nil
 	}
-	return known.snapshot
+	return entry.snapshot
 }
 
-// Endpoints implements Reader: those that take new work.
+// Endpoints implements Reader. It leaves out endpoints that are draining.
 func (d *Directory) Endpoints(name string) RowEndpoints {
 	snapshot := d.Snapshot(name)
 	if snapshot == nil {
@@ -157,7 +163,7 @@
 	}
 }
 
-// notify calls the subscribers for each model. The lock is not held.
+// notify calls the subscribers for each model. The lock must not be held.
 func (d *Directory) notify(models []string) {
 	if len(models) == 0 {
 		return
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -32,7 +32,7 @@
 
 func (fakeTable) Revision() table.Revision { return 3 }
 
-// fakeDemand has one waiting row as long as waiting is set.
+// fakeDemand has one row, with waiting requests while waiting is set.
 type fakeDemand struct{ waiting bool }
 
 func (f *fakeDemand) DemandOf(row string, _ time.Time) (Demand, bool) {
@@ -46,21 +46,24 @@
 	return []Demand{{Row: "tone", Waiting: 1}}
 }
 
-// fixture is a directory whose cells' owner is a second simulated node.
+// fixture has a directory and a second simulated node, the owner of cell c1.
 type fixture struct {
 	loop      *simulation.Loop
 	network   *simulation.Network
 	directory *Directory
 	demand    *fakeDemand
 	owner     peer.Transport
-	owners    map[string]string
-	reports   []DemandReport
-	changed   []string
+	// owners has the peer address of each cell's owner.
+	owners map[string]string
+	// reports are those that the owner received, changed the models that subscribers were
+	// notified of.
+	reports []DemandReport
+	changed []string
 }
 
 func (f *fixture) OwnerOf(cell string) (membership.Owner, bool) {
-	address, known := f.owners[cell]
-	return membership.Owner{Cell: cell, Member: membership.Member{PeerAddress: address}}, known
+	address, found := f.owners[cell]
+	return membership.Owner{Cell: cell, Member: membership.Member{PeerAddress: address}}, found
 }
 
 func newFixture() *fixture {
@@ -83,7 +86,7 @@
 	return f
 }
 
-// tickFor runs the loop and ticks the directory ten times a second.
+// tickFor runs the loop for the span and calls Tick every 100 ms.
 func (f *fixture) tickFor(span time.Duration) {
 	for range int(span / (100 * time.Millisecond)) {
 		f.loop.RunFor(100 * time.Millisecond)
@@ -91,6 +94,7 @@
 	}
 }
 
+// update returns an update of one model with an endpoint on each of the servers.
 func update(cell string, epoch, sequence uint64, model string, servers ...string) EndpointUpdate {
 	row := RowEndpoints{Model: model}
 	for _, server := range servers {
@@ -99,6 +103,7 @@
 	return EndpointUpdate{Cell: cell, Epoch: epoch, Sequence: sequence, Rows: []RowEndpoints{row}}
 }
 
+// servers returns the servers of the model's endpoints that accept requests.
 func (f *fixture) servers(model string) []string {
 	servers := []string{}
 	for _, endpoint := range f.directory.Endpoints(model).Endpoints {
@@ -115,19 +120,19 @@
 		}
 		Expect(f.servers("m")).To(Equal(expected))
 	},
-	Entry("the newer sequence", []string{"b"}, update("c", 1, 1, "m", "a"), update("c", 1, 2, "m", "b")),
-	Entry("a late one", []string{"b"}, update("c", 1, 2, "m", "b"), update("c", 1, 1, "m", "a")),
-	Entry("a repeated one", []string{"a"}, update("c", 1, 1, "m", "a"), update("c", 1, 1, "m", "b")),
-	Entry("the newer epoch", []string{"b"}, update("c", 1, 9, "m", "a"), update("c", 2, 1, "m", "b")),
-	Entry("one of an old epoch", []string{"b"}, update("c", 2, 1, "m", "b"), update("c", 1, 9, "m", "a")),
-	Entry("one of an old epoch, about another model", []string{}, update("c", 2, 1, "n", "b"), update("c", 1, 9, "m", "a")),
-	Entry("a late one about another model", []string{"a"}, update("c", 1, 2, "n", "b"), update("c", 1, 1, "m", "a")),
-	Entry("two cells", []string{"a", "b"}, update("d", 1, 1, "m", "b"), update("c", 5, 1, "m", "a")),
-	Entry("no endpoint any more", []string{}, update("c", 1, 1, "m", "a"), update("c", 1, 2, "m")),
+	Entry("applies a newer sequence", []string{"b"}, update("c", 1, 1, "m", "a"), update("c", 1, 2, "m", "b")),
+	Entry("ignores an older sequence", []string{"b"}, update("c", 1, 2, "m", "b"), update("c", 1, 1, "m", "a")),
+	Entry("ignores a repeated sequence", []string{"a"}, update("c", 1, 1, "m", "a"), update("c", 1, 1, "m", "b")),
+	Entry("applies a newer epoch", []string{"b"}, update("c", 1, 9, "m", "a"), update("c", 2, 1, "m", "b")),
+	Entry("ignores an older epoch", []string{"b"}, update("c", 2, 1, "m", "b"), update("c", 1, 9, "m", "a")),
+	Entry("ignores an older epoch for another model", []string{}, update("c", 2, 1, "n", "b"), update("c", 1, 9, "m", "a")),
+	Entry("applies an older sequence for another model", []string{"a"}, update("c", 1, 2, "n", "b"), update("c", 1, 1, "m", "a")),
+	Entry("merges two cells", []string{"a", "b"}, update("d", 1, 1, "m", "b"), update("c", 5, 1, "m", "a")),
+	Entry("removes the last endpoint", []string{}, update("c", 1, 1, "m", "a"), update("c", 1, 2, "m")),
 )
 
 var _ = Describe("Directory", func() {
-	It("reports a wanted row at once and takes the reply", func() {
+	It("reports a row's demand at once and applies the reply", func() {
 		f := newFixture()
 		f.directory.ReportDemand("tone")
 		f.directory.ReportDemand("tone")
@@ -151,29 +156,29 @@
 		Expect(f.servers("m")).To(Equal([]string{"s1"}))
 	})
 
-	It("tells the owner which endpoints it has, until one of them refuses", func() {
+	It("reports the digests of cached rows until an endpoint is invalidated", func() {
 		f := newFixture()
-		known := update("c1", 0, 1, "m", "a")
-		known.Revision = 3
-		known.Rows[0].Digest = 9
-		f.directory.Apply(known)
+		cached := update("c1", 0, 1, "m", "a")
+		cached.Revision = 3
+		cached.Rows[0].Digest = 9
+		f.directory.Apply(cached)
 		f.directory.ReportDemand("m")
 		f.loop.RunFor(100 * time.Millisecond)
 		Expect(f.reports[0].Known).To(Equal([]CachedRow{{Model: "m", Digest: 9}}))
-		f.directory.Apply(known)
+		f.directory.Apply(cached)
 		f.directory.Invalidate("m", "a", 0)
 		f.directory.ReportDemand("m")
 		f.loop.RunFor(100 * time.Millisecond)
 		Expect(f.reports[1].Known).To(BeEmpty())
 	})
 
-	It("reports rows with traffic each period only", func() {
+	It("reports rows with traffic only once each period", func() {
 		f := newFixture()
 		f.tickFor(10 * time.Second)
 		Expect(len(f.reports)).To(BeNumerically("~", 5, 1))
 	})
 
-	It("keeps its endpoints when the owner is silent or unknown", func() {
+	It("keeps its endpoints when the owner is unreachable or unknown", func() {
 		f := newFixture()
 		f.directory.ReportDemand("m")
 		f.loop.RunFor(time.Second)
@@ -184,14 +189,14 @@
 		Expect(f.servers("m")).To(Equal([]string{"s1"}))
 	})
 
-	It("takes updates that the owner sends by itself", func() {
+	It("applies updates that the owner sends without a report", func() {
 		f := newFixture()
 		f.owner.Send("gateway", update("c1", 1, 7, "m", "s2"))
 		f.loop.RunFor(time.Second)
 		Expect(f.servers("m")).To(Equal([]string{"s2"}))
 	})
 
-	It("gives no work to a leaving server, whatever the owner says", func() {
+	It("uses no leaving server, whatever the owner reports", func() {
 		f := newFixture()
 		f.directory.Apply(update("c1", 1, 1, "m", "s1", "s2"))
 		f.directory.MarkLeaving("s1")
@@ -200,7 +205,7 @@
 		Expect(f.servers("m")).To(Equal([]string{"s2"}))
 	})
 
-	It("takes an engine that is no longer listed for gone", func() {
+	It("marks an engine as leaving that is no longer listed", func() {
 		f := newFixture()
 		f.directory.Apply(update("c1", 1, 1, "m", "s1", "s2"))
 		machines := []outside.Machine{{Server: "s1", Engine: true}, {Server: "s2", Engine: true}}
@@ -210,7 +215,7 @@
 		Expect(f.servers("m")).To(Equal([]string{"s2"}))
 	})
 
-	It("drops a rejected endpoint until the owner says something newer", func() {
+	It("removes an invalidated endpoint until a newer update", func() {
 		f := newFixture()
 		f.directory.Apply(update("c1", 1, 1, "m", "s1"))
 		f.directory.Invalidate("m", "s1", 0)
@@ -220,7 +225,7 @@
 		Expect(f.servers("m")).To(Equal([]string{"s1"}))
 	})
 
-	It("is refused only when all cells refuse", func() {
+	It("reports a model as refused only if all cells refuse it", func() {
 		f := newFixture()
 		refused := update("c1", 1, 1, "m")
 		refused.Rows[0].Refused = "no_memory"
@@ -242,7 +247,7 @@
 		}}
 	}
 
-	It("knows the pools of servers that are no engines", func() {
+	It("has the pools of servers other than engines", func() {
 		backEnds := NewBackEnds(0)
 		changed := []string{}
 		backEnds.Subscribe(func(pool string) { changed = append(changed, pool) })
@@ -259,7 +264,7 @@
 		Expect(backEnds.Snapshot("eggrafi").Endpoints).To(BeEmpty())
 	})
 
-	It("keeps a mark of leaving over listings that lag", func() {
+	It("keeps servers marked as leaving when a listing lags", func() {
 		backEnds := NewBackEnds(0)
 		backEnds.ApplyListing(listing(1, outside.MachineLive))
 		backEnds.MarkLeaving("e1")
@@ -268,8 +273,8 @@
 	})
 })
 
-// TestUpdatesInAnyOrder checks that the outcome depends only on the set of
-// updates of the newest epoch, not on the order in which they come.
+// TestUpdatesInAnyOrder checks that the result depends only on the set of updates of the latest
+// epoch, not on the order in which they arrive, and that updates of older epochs have no effect.
 func TestUpdatesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var updates []EndpointUpdate
--- a/internal/directory/leaving.go
+++ b/internal/directory/leaving.go
@@ -8,9 +8,8 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// MarkLeaving records that a server takes no new work any more, whatever the
-// owner of its cell says. A server id is never used again, so there is no way
-// back.
+// MarkLeaving records that a server accepts no new requests any more, whatever the owner of its
+// cell reports. The mark is final, because server ids are not reused.
 func (d *Directory) MarkLeaving(server outside.ServerID) {
 	d.mutex.Lock()
 	changed := d.markLeaving([]outside.ServerID{server})
@@ -18,18 +17,19 @@
 	d.notify(changed)
 }
 
-// ApplyListing takes a machine listing in: engines listed as leaving, and
-// engines listed before and now gone, take no new work.
+// ApplyListing marks engines as leaving that the machine listing has as leaving, or that were in
+// the previous listing and are not in this one.
 func (d *Directory) ApplyListing(listing outside.MachineListing) {
 	d.mutex.Lock()
-	changed := d.markLeaving(d.leavingIn(listing))
-	d.forgetLeaving()
+	changed := d.markLeaving(d.leavingEngines(listing))
+	d.pruneLeaving()
 	d.mutex.Unlock()
 	d.notify(changed)
 }
 
-// leavingIn returns the engines that leave or have left, in order.
-func (d *Directory) leavingIn(listing outside.MachineListing) []outside.ServerID {
+// leavingEngines returns the sorted ids of the engines that are leaving or no longer listed, and
+// records which are listed.
+func (d *Directory) leavingEngines(listing outside.MachineListing) []outside.ServerID {
 	listed := make(map[outside.ServerID]bool, len(listing.Machines))
 	var leaving []outside.ServerID
 	for _, machine := range listing.Machines {
@@ -51,38 +51,41 @@
 	return leaving
 }
 
-// markLeaving marks servers and returns the models whose snapshot changed.
+// markLeaving marks servers as leaving and returns the models whose snapshot changed. The lock
+// must be held.
 func (d *Directory) markLeaving(servers []outside.ServerID) []string {
 	now := d.config.Clock.Now()
-	fresh := map[outside.ServerID]bool{}
+	added := map[outside.ServerID]bool{}
 	for _, server := range servers {
-		if _, known := d.leaving[server]; !known {
-			fresh[server] = true
+		if _, marked := d.leaving[server]; !marked {
+			added[server] = true
 		}
 		d.leaving[server] = now
 	}
-	if len(fresh) == 0 {
+	if len(added) == 0 {
 		return nil
 	}
 	var changed []string
 	for _, name := range slices.Sorted(maps.Keys(d.models)) {
-		known := d.models[name]
-		if holdsAny(known.snapshot, fresh) {
-			d.rebuild(name, known)
+		entry := d.models[name]
+		if hasEndpointOn(entry.snapshot, added) {
+			d.rebuildSnapshot(name, entry)
 			changed = append(changed, name)
 		}
 	}
 	return changed
 }
 
-func holdsAny(snapshot *Snapshot, servers map[outside.ServerID]bool) bool {
+// hasEndpointOn reports whether the snapshot has an endpoint on any of the servers.
+func hasEndpointOn(snapshot *Snapshot, servers map[outside.ServerID]bool) bool {
 	return slices.ContainsFunc(snapshot.Endpoints, func(endpoint Endpoint) bool { return servers[endpoint.Server] })
 }
 
-// forgetLeaving bounds the memory of servers that are long gone.
-func (d *Directory) forgetLeaving() {
-	limit := d.config.Clock.Now().Add(-leavingMemory)
-	maps.DeleteFunc(d.leaving, func(server outside.ServerID, marked time.Time) bool {
-		return marked.Before(limit) && !d.listed[server]
+// pruneLeaving removes the marks of servers that are not listed any more after
+// leavingRetention, to bound their number. The lock must be held.
+func (d *Directory) pruneLeaving() {
+	cutoff := d.config.Clock.Now().Add(-leavingRetention)
+	maps.DeleteFunc(d.leaving, func(server outside.ServerID, markedAt time.Time) bool {
+		return markedAt.Before(cutoff) && !d.listed[server]
 	})
 }
--- a/internal/directory/messages.go
+++ b/internal/directory/messages.go
@@ -1,6 +1,5 @@
-// Package directory is a gateway's knowledge of where models are served: a
-// cache of endpoints, kept fresh by the owners of the models' cells, to whom it
-// reports demand.
+// Package directory is a gateway's cache of the endpoints that serve models. It reports demand
+// to the owners of the models' cells, which keep the cache up to date.
 package directory
 
 import (
@@ -11,59 +10,61 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// Demand is what one gateway knows of the traffic for one row.
+// Demand is the demand for one row at one gateway.
 type Demand struct {
 	// Row is the name of the model or adapter.
 	Row string
-	// Waiting requests at this gateway and the earliest deadline among them.
+	// Waiting is the number of requests that wait at the gateway, EarliestDeadline the
+	// earliest deadline among them.
 	Waiting          int
 	EarliestDeadline time.Time
-	// OldestWait is when the longest-waiting request was accepted.
+	// OldestWait is when the request that has waited longest was accepted.
 	OldestWait time.Time
-	// Running requests at engines from this gateway.
+	// Running is the number of requests of the gateway that run at engines.
 	Running int
-	// ArrivalsPerSecond over the last seconds.
+	// ArrivalsPerSecond is the average over the last seconds.
 	ArrivalsPerSecond float64
-	// Arrivals since the report before.
+	// Arrivals is the number of requests that arrived since the previous report.
 	Arrivals int
-	// HighestPriority among the waiting.
+	// HighestPriority is the highest priority among the waiting requests.
 	HighestPriority int
 }
 
-// DemandReport goes from a gateway to a cell's owner: at once when a request
-// waits for a row without endpoint, else every reporting period.
+// DemandReport is sent by a gateway to a cell's owner: at once when a request waits for a row
+// that has no endpoint or when a row's traffic begins, and periodically.
 type DemandReport struct {
 	Cell string
-	// Gateway's member id and peer address, to which updates are sent.
+	// Gateway is the gateway's member id, PeerAddress the address to which updates are sent.
 	Gateway     string
 	PeerAddress string
-	// Sequence orders one gateway's reports.
+	// Sequence orders the reports of one gateway.
 	Sequence uint64
 	Demands  []Demand
-	// Known are the endpoints that the gateway has of the models asked for.
+	// Known has the rows that the gateway has cached, of the models in Demands.
 	Known []CachedRow
 }
 
-// CachedRow tells which endpoints of a model a gateway has.
+// CachedRow identifies the endpoints of a model that a gateway has cached.
 type CachedRow struct {
 	Model string
-	// Digest as the owner sent it.
+	// Digest is the digest of RowEndpoints as the owner sent it.
 	Digest uint64
 }
 
-// Endpoint is a replica that can be called.
+// Endpoint is a replica that requests can be sent to.
 type Endpoint struct {
 	Server  outside.ServerID
 	Zone    string
 	Model   string
 	Version string
 	Slot    outside.SlotID
-	// Adapters ready on the replica, in order.
+	// Adapters has the adapters that are ready on the replica, in the owner's order.
 	Adapters []string
+	// MaxBatch is the number of requests that run at once.
 	MaxBatch int
-	// Running and Queued at the engine, lagging.
+	// Running and Queued are the numbers of requests at the engine. They lag.
 	Running, Queued int
-	// Draining endpoints get no new work.
+	// Draining is set if the endpoint gets no new requests.
 	Draining bool
 }
 
@@ -71,27 +72,29 @@
 type RowEndpoints struct {
 	Model     string
 	Endpoints []Endpoint
-	// ReadyAt estimates when the next replica will be ready; zero: not planned.
+	// ReadyAt is the estimated time at which the next replica is ready; zero if none is
+	// planned.
 	ReadyAt time.Time
-	// Refused is set when the owner can't load the model at all, with a reason.
+	// Refused is the reason why the owner can't load the model at all; empty if it can.
 	Refused string
-	// Gateways with requests for the model, as far as the owner was told; 0:
-	// not known.
+	// Gateways is the number of gateways that reported requests for the model to the owner;
+	// 0 if not known.
 	Gateways int
-	// Digest of all that gateways act on but the load, which they learn from
-	// answers too; rows whose digest a gateway has need not be sent again.
+	// Digest covers all that gateways act on except the load, which responses to requests
+	// report as well. A row need not be sent again to a gateway that has its digest; 0 if
+	// not known.
 	Digest uint64
 }
 
-// EndpointUpdate answers a DemandReport and is also sent when endpoints change.
-// For each model named it replaces what was known. The answer to a report leaves
-// out models of which the gateway knows all but the load.
+// EndpointUpdate is the reply to a DemandReport and is also sent when endpoints change. It
+// replaces the cached endpoints of the cell for each model that it names. The reply to a report
+// may leave out models whose current digest the report has.
 type EndpointUpdate struct {
 	Cell  string
 	Epoch uint64
 	// Sequence orders the updates of an epoch.
 	Sequence uint64
-	// Revision of the table the owner acts on.
+	// Revision is the revision of the table that the owner acts on.
 	Revision table.Revision
 	Rows     []RowEndpoints
 }
@@ -101,9 +104,9 @@
 	peer.RegisterAs("directory.EndpointUpdate", EndpointUpdate{})
 }
 
-// Reader is the gateway's read access to endpoints; safe for concurrent use.
+// Reader is read access to the cached endpoints. Implementations are safe for concurrent use.
 type Reader interface {
-	// Endpoints returns the known endpoints of a base model, ready ones only.
-	// The slice must not be changed.
+	// Endpoints returns the endpoints of a base model that accept new requests. The slice
+	// must not be changed.
 	Endpoints(model string) RowEndpoints
 }
--- a/internal/directory/report.go
+++ b/internal/directory/report.go
@@ -9,29 +9,29 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// coalescing is how long wanted rows are gathered into one report.
-const coalescing = time.Millisecond
+// coalescePeriod is how long rows that are to be reported at once are collected into one report.
+const coalescePeriod = time.Millisecond
 
-// ReportDemand reports a row's demand at once: a request waits for it and no endpoint
-// can serve it, or its traffic has just begun. It may be called under the
-// caller's lock; the demand is read later from the DemandSource.
+// ReportDemand schedules a report of a row's demand within coalescePeriod. It is called when a
+// request waits for the row and no endpoint can serve it, or when the row's traffic begins. The
+// caller may hold its own lock: the DemandSource is read later.
 func (d *Directory) ReportDemand(row string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.wanted[row] = true
-	if d.flushArmed {
+	d.pendingRows[row] = true
+	if d.flushScheduled {
 		return
 	}
-	d.flushArmed = true
-	d.config.Clock.AfterFunc(coalescing, d.flush)
+	d.flushScheduled = true
+	d.config.Clock.AfterFunc(coalescePeriod, d.flush)
 }
 
-// flush reports the wanted rows.
+// flush reports the pending rows.
 func (d *Directory) flush() {
 	d.mutex.Lock()
-	d.flushArmed = false
-	rows := slices.Sorted(maps.Keys(d.wanted))
-	clear(d.wanted)
+	d.flushScheduled = false
+	rows := slices.Sorted(maps.Keys(d.pendingRows))
+	clear(d.pendingRows)
 	source := d.source
 	d.mutex.Unlock()
 	if source == nil {
@@ -40,16 +40,15 @@
 	now := d.config.Clock.Now()
 	var demands []Demand
 	for _, row := range rows {
-		if demand, known := source.DemandOf(row, now); known {
+		if demand, found := source.DemandOf(row, now); found {
 			demands = append(demands, demand)
 		}
 	}
 	d.report(demands)
 }
 
-// Tick reports, each repeat period, the rows with waiting requests and, each
-// report period, all rows with traffic. It is called at least every repeat
-// period.
+// Tick reports the rows with waiting requests once each RepeatPeriod, and all rows with traffic
+// once each ReportPeriod. It must be called at least once each RepeatPeriod.
 func (d *Directory) Tick(now time.Time) {
 	d.mutex.Lock()
 	source := d.source
@@ -68,7 +67,7 @@
 	d.report(source.Demands(now, all))
 }
 
-// report sends each cell's owner the demands that concern it.
+// report sends the demands to the owners of the cells that may hold replicas of the models.
 func (d *Directory) report(demands []Demand) {
 	byCell := map[string][]Demand{}
 	for _, demand := range demands {
@@ -77,21 +76,23 @@
 		}
 	}
 	for _, cell := range slices.Sorted(maps.Keys(byCell)) {
-		d.send(cell, byCell[cell])
+		d.sendReport(cell, byCell[cell])
 	}
 }
 
+// baseOf returns the base model of an adapter, or the row itself if it is no adapter.
 func (d *Directory) baseOf(row string) string {
-	known, found := d.config.Table.Row(row)
-	if found && known.Kind == table.KindAdapter {
-		return known.Base
+	entry, found := d.config.Table.Row(row)
+	if found && entry.Kind == table.KindAdapter {
+		return entry.Base
 	}
 	return row
 }
 
-func (d *Directory) send(cell string, demands []Demand) {
-	owner, known := d.config.Ownership.OwnerOf(cell)
-	if !known || owner.Vacant {
+// sendReport sends a report to the owner of the cell.
+func (d *Directory) sendReport(cell string, demands []Demand) {
+	owner, found := d.config.Ownership.OwnerOf(cell)
+	if !found || owner.Vacant {
 		d.config.Logger.Debug().Str("cell", cell).Str("reason", "no_owner").Msg("demand not reported")
 		return
 	}
@@ -103,36 +104,36 @@
 		PeerAddress: d.config.PeerAddress,
 		Sequence:    d.sequence,
 		Demands:     demands,
-		Known:       d.knownLocked(cell, owner.Epoch, demands),
+		Known:       d.cachedRowsLocked(cell, owner.Epoch, demands),
 	}
 	d.mutex.Unlock()
 	d.config.Transport.Call(owner.Member.PeerAddress, report, d.config.CallTimeout, func(message peer.Message, err error) {
-		d.receive(cell, message, err)
+		d.handleReply(cell, message, err)
 	})
 }
 
-// knownLocked lists the digests of what this cell's owner has told about the
-// models asked for.
-func (d *Directory) knownLocked(cell string, epoch uint64, demands []Demand) []CachedRow {
+// cachedRowsLocked returns the digests of the demanded models' rows that the cell's owner sent in
+// the epoch. The lock must be held.
+func (d *Directory) cachedRowsLocked(cell string, epoch uint64, demands []Demand) []CachedRow {
 	var rows []CachedRow
 	for _, demand := range demands {
 		name := d.baseOf(demand.Row)
-		known := d.models[name]
-		if known == nil {
+		entry := d.models[name]
+		if entry == nil {
 			continue
 		}
-		part := known.cells[cell]
-		if part == nil || part.epoch != epoch || part.row.Digest == 0 {
+		reported := entry.cells[cell]
+		if reported == nil || reported.epoch != epoch || reported.row.Digest == 0 {
 			continue
 		}
-		rows = append(rows, CachedRow{Model: name, Digest: part.row.Digest})
+		rows = append(rows, CachedRow{Model: name, Digest: reported.row.Digest})
 	}
 	return rows
 }
 
-// receive takes the reply to a report. A lost reply needs no action: demand is
+// handleReply applies the reply to a report. An error needs no action, because demand is
 // reported again while requests wait.
-func (d *Directory) receive(cell string, message peer.Message, err error) {
+func (d *Directory) handleReply(cell string, message peer.Message, err error) {
 	if err != nil {
 		d.config.Logger.Debug().Str("cell", cell).Err(err).Msg("demand report unanswered")
 		return
--- a/internal/directory/snapshot.go
+++ b/internal/directory/snapshot.go
@@ -6,25 +6,25 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// Snapshot is the immutable set of endpoints of one base model or back-end
-// pool. A change makes a new snapshot, so two snapshots are equal exactly if
-// their pointers are.
+// Snapshot is the set of endpoints of one base model or back-end pool. It is immutable: a change
+// makes a new snapshot, so that a change can be detected by comparing pointers.
 type Snapshot struct {
 	// Group is the name of the base model or pool.
 	Group string
-	// Endpoints in order of cell, server and slot.
+	// Endpoints has the endpoints of a model ordered by server and slot, those of a pool in
+	// the order of the machine listing.
 	Endpoints []Endpoint
-	// ReadyAt estimates when the next replica will be ready; zero: not known.
+	// ReadyAt is the estimated time at which the next replica is ready; zero if not known.
 	ReadyAt time.Time
-	// Refused is set when no cell can load the model, with a reason.
+	// Refused is the reason why no cell can load the model; empty if some can.
 	Refused string
-	// MeasuredAt is when the load figures of the endpoints were received.
+	// MeasuredAt is when the latest load figures were received; zero if there are none.
 	MeasuredAt time.Time
-	// Gateways that share the endpoints now; 0: not known.
+	// Gateways is the number of gateways that share the endpoints now; 0 if not known.
 	Gateways int
 }
 
-// Usable reports whether any endpoint takes new work.
+// Usable reports whether any endpoint accepts new requests. A nil snapshot has none.
 func (s *Snapshot) Usable() bool {
 	if s == nil {
 		return false
@@ -37,8 +37,8 @@
 	return false
 }
 
-// without returns the endpoints that are not on the server and slot.
-func without(endpoints []Endpoint, server outside.ServerID, slot outside.SlotID) []Endpoint {
+// withoutEndpoint returns a copy of the endpoints without those on the server and slot.
+func withoutEndpoint(endpoints []Endpoint, server outside.ServerID, slot outside.SlotID) []Endpoint {
 	kept := make([]Endpoint, 0, len(endpoints))
 	for _, endpoint := range endpoints {
 		if endpoint.Server == server && endpoint.Slot == slot {
--- a/internal/directory/update.go
+++ b/internal/directory/update.go
@@ -10,6 +10,7 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
+// handleUpdate applies an update that an owner sends without a report.
 func (d *Directory) handleUpdate(_ string, message peer.Message, reply func(peer.Message, error)) {
 	if update, ok := message.(EndpointUpdate); ok {
 		d.Apply(update)
@@ -17,8 +18,8 @@
 	reply(nil, nil)
 }
 
-// Apply takes an update in. Per cell the newest epoch wins, and within an
-// epoch, per model, the newest sequence; anything else is ignored.
+// Apply applies an update. Updates of an epoch older than the cell's latest are ignored, and
+// within an epoch, rows that are not of a later sequence than the cached one of their model.
 func (d *Directory) Apply(update EndpointUpdate) {
 	d.mutex.Lock()
 	changed := d.applyLocked(update)
@@ -26,6 +27,7 @@
 	d.notify(changed)
 }
 
+// applyLocked applies an update and returns the models that changed. The lock must be held.
 func (d *Directory) applyLocked(update EndpointUpdate) []string {
 	if update.Epoch < d.epochs[update.Cell] {
 		return nil
@@ -40,65 +42,70 @@
 	return changed
 }
 
+// applyRow replaces the cell's endpoints of one model and reports whether the row is newer than
+// the cached one. The lock must be held.
 func (d *Directory) applyRow(update EndpointUpdate, row RowEndpoints) bool {
-	known := d.models[row.Model]
-	if known == nil {
-		known = &model{cells: map[string]*cellPart{}}
-		d.models[row.Model] = known
+	entry := d.models[row.Model]
+	if entry == nil {
+		entry = &modelEndpoints{cells: map[string]*cellEndpoints{}}
+		d.models[row.Model] = entry
 	}
-	part := known.cells[update.Cell]
-	if part == nil {
-		part = &cellPart{}
-		known.cells[update.Cell] = part
-	} else if !newer(update, part) {
+	reported := entry.cells[update.Cell]
+	if reported == nil {
+		reported = &cellEndpoints{}
+		entry.cells[update.Cell] = reported
+	} else if !isNewer(update, reported) {
 		return false
 	}
-	part.epoch = update.Epoch
-	part.sequence = update.Sequence
-	part.receivedAt = d.config.Clock.Now()
-	part.row = row
+	reported.epoch = update.Epoch
+	reported.sequence = update.Sequence
+	reported.receivedAt = d.config.Clock.Now()
+	reported.row = row
 	if update.Revision < d.config.Table.Revision() {
-		// The owner may refuse a row only because it does not know it yet.
-		part.row.Refused = ""
-		part.row.Digest = 0
+		// The owner may refuse the row only because its older table doesn't have it yet.
+		reported.row.Refused = ""
+		reported.row.Digest = 0
 	}
-	d.rebuild(row.Model, known)
+	d.rebuildSnapshot(row.Model, entry)
 	return true
 }
 
-func newer(update EndpointUpdate, part *cellPart) bool {
-	if update.Epoch != part.epoch {
-		return update.Epoch > part.epoch
+// isNewer reports whether the update is newer than what the cell reported before.
+func isNewer(update EndpointUpdate, reported *cellEndpoints) bool {
+	if update.Epoch != reported.epoch {
+		return update.Epoch > reported.epoch
 	}
-	return update.Sequence > part.sequence
+	return update.Sequence > reported.sequence
 }
 
-// rebuild merges the cells' parts of a model into a new snapshot.
-func (d *Directory) rebuild(name string, known *model) {
+// rebuildSnapshot merges the endpoints that the cells reported for a model into a new snapshot.
+// The lock must be held.
+func (d *Directory) rebuildSnapshot(name string, entry *modelEndpoints) {
 	snapshot := &Snapshot{Group: name}
 	refusals := 0
-	for _, cell := range slices.Sorted(maps.Keys(known.cells)) {
-		part := known.cells[cell]
-		snapshot.Endpoints = d.appendEndpoints(snapshot.Endpoints, part.row.Endpoints)
-		snapshot.ReadyAt = earliest(snapshot.ReadyAt, part.row.ReadyAt)
-		snapshot.Gateways = max(snapshot.Gateways, part.row.Gateways)
-		if part.receivedAt.After(snapshot.MeasuredAt) {
-			snapshot.MeasuredAt = part.receivedAt
+	for _, cell := range slices.Sorted(maps.Keys(entry.cells)) {
+		reported := entry.cells[cell]
+		snapshot.Endpoints = d.appendEndpoints(snapshot.Endpoints, reported.row.Endpoints)
+		snapshot.ReadyAt = earliest(snapshot.ReadyAt, reported.row.ReadyAt)
+		snapshot.Gateways = max(snapshot.Gateways, reported.row.Gateways)
+		if reported.receivedAt.After(snapshot.MeasuredAt) {
+			snapshot.MeasuredAt = reported.receivedAt
 		}
-		if part.row.Refused != "" {
+		if reported.row.Refused != "" {
 			refusals++
-			snapshot.Refused = part.row.Refused
+			snapshot.Refused = reported.row.Refused
 		}
 	}
-	if refusals < max(len(known.cells), len(d.config.Cells(name))) {
+	if refusals < max(len(entry.cells), len(d.config.Cells(name))) {
 		snapshot.Refused = ""
 	}
 	slices.SortStableFunc(snapshot.Endpoints, compareEndpoints)
-	known.snapshot = snapshot
+	entry.snapshot = snapshot
 }
 
-func (d *Directory) appendEndpoints(merged, part []Endpoint) []Endpoint {
-	for _, endpoint := range part {
+// appendEndpoints appends endpoints to merged. Those on leaving servers become draining.
+func (d *Directory) appendEndpoints(merged, added []Endpoint) []Endpoint {
+	for _, endpoint := range added {
 		if _, leaving := d.leaving[endpoint.Server]; leaving {
 			endpoint.Draining = true
 		}
@@ -107,11 +114,12 @@
 	return merged
 }
 
+// compareEndpoints orders endpoints by server and slot.
 func compareEndpoints(a, b Endpoint) int {
 	return cmp.Or(cmp.Compare(a.Server, b.Server), cmp.Compare(a.Slot, b.Slot))
 }
 
-// earliest returns the earlier of two times; a zero time is not known.
+// earliest returns the earlier of two times. A zero time is unknown and doesn't count.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
@@ -119,20 +127,20 @@
 	return a
 }
 
-// Invalidate removes an endpoint that refused a request as not loaded, until the
-// cell's owner says something newer.
+// Invalidate removes an endpoint that refused a request because the model is not loaded there.
+// A newer update of the cell's owner may add it again.
 func (d *Directory) Invalidate(name string, server outside.ServerID, slot outside.SlotID) {
 	d.mutex.Lock()
-	known := d.models[name]
-	if known != nil {
-		for _, part := range known.cells {
-			part.row.Endpoints = without(part.row.Endpoints, server, slot)
-			part.row.Digest = 0
+	entry := d.models[name]
+	if entry != nil {
+		for _, reported := range entry.cells {
+			reported.row.Endpoints = withoutEndpoint(reported.row.Endpoints, server, slot)
+			reported.row.Digest = 0
 		}
-		d.rebuild(name, known)
+		d.rebuildSnapshot(name, entry)
 	}
 	d.mutex.Unlock()
-	if known != nil {
+	if entry != nil {
 		d.notify([]string{name})
 	}
 }
