--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -7,58 +7,61 @@
 	"github.com/hatchplank/hatchplank/internal/router"
 )
 
-// marginShare is the largest part of a time limit that the margin takes.
-const marginShare = 10
+// marginDivisor limits the refusal margin to one tenth of a request's time
+// limit.
+const marginDivisor = 10
 
-// decision says what became of a new request.
+// decision is the result of admitting a new request.
 type decision uint8
 
 const (
-	// decided: the request waits, runs or was refused.
+	// decided: the request was queued, dispatched or refused.
 	decided decision = iota
-	// roomNeeded: it is to be decided on again when room was made, which can't
-	// be done under the shard's lock.
-	roomNeeded
+	// displacementNeeded: the node's queues are full, and requests of lower
+	// priority may be displaced. That locks other shards, so the caller must
+	// release this shard's lock, displace them and decide again.
+	displacementNeeded
 )
 
-// admit counts a new request and decides on it.
-func (s *shard) admit(e *entry, key string, turn *turn) decision {
+// admit records the arrival of a new request and decides on it.
+func (s *shard) admit(e *entry, key string, section *criticalSection) decision {
 	e.group = s.groupFor(e, key)
-	e.group.lastUsed = turn.now
+	e.group.lastUsed = section.now
 	e.flow = s.flowFor(e, "")
-	e.flow.arrivals.note(turn.now)
-	s.noteArrival(e.flow.demand, turn.now)
-	e.refuseAt = s.gateway.refusalTime(e, turn.now)
-	return s.decide(e, turn, true)
+	e.flow.arrivals.record(section.now)
+	s.recordArrival(e.flow.demand, section.now)
+	e.refuseAt = s.gateway.refusalTime(e, section.now)
+	return s.decide(e, section, true)
 }
 
-// decide queues a new request or refuses it, unless room may be made for it.
-func (s *shard) decide(e *entry, turn *turn, mayMakeRoom bool) decision {
-	estimate, refusal := s.admissible(e, turn)
-	if refusal == nil && !estimate.immediate && s.gateway.full(&e.request) {
-		if mayMakeRoom && s.gateway.canMakeRoom(&e.request) {
-			return roomNeeded
+// decide queues a new request or refuses it. If the node's queues are full and
+// mayDisplace is set, it may return displacementNeeded instead.
+func (s *shard) decide(e *entry, section *criticalSection, mayDisplace bool) decision {
+	estimate, refusal := s.checkAdmission(e, section)
+	if refusal == nil && !estimate.immediate && s.gateway.queuesFull(&e.request) {
+		if mayDisplace && s.gateway.canDisplaceFor(&e.request) {
+			return displacementNeeded
 		}
 		refusal = queueRefusal(result.QueueFull, "this node's queues are full", estimate)
 	}
 	if refusal == nil {
-		refusal = s.makeRoom(e, estimate, turn)
+		refusal = s.enforceQueueLength(e, estimate, section)
 	}
 	if refusal != nil {
-		s.wantIfCold(e, turn)
-		s.refuse(e, *refusal, turn)
+		s.reportDemandIfCold(e, section)
+		s.refuse(e, *refusal, section)
 		return decided
 	}
-	e.event(turn, EventAccepted)
+	e.event(section, EventAccepted)
 	e.expiry = timerItem{kind: timerExpiry, entry: e}
 	s.schedule(&e.expiry, e.refuseAt)
 	s.enqueue(e)
-	s.dispatch(e.group, turn)
+	s.dispatch(e.group, section)
 	return decided
 }
 
-// refusalTime is the request's deadline less the margin. A request without a
-// deadline gets its row's limit.
+// refusalTime returns the request's deadline minus the margin. A request without
+// a deadline gets its row's time limit.
 func (g *Gateway) refusalTime(e *entry, now time.Time) time.Time {
 	if e.request.Accepted.IsZero() {
 		e.request.Accepted = now
@@ -67,67 +70,69 @@
 		e.request.Deadline = e.request.Accepted.Add(e.row.TimeLimit)
 	}
 	limit := e.request.Deadline.Sub(e.request.Accepted)
-	margin := min(g.config.Limits.Margin, limit/marginShare)
+	margin := min(g.config.Limits.Margin, limit/marginDivisor)
 	return e.request.Deadline.Add(-margin)
 }
 
-// admissible returns why a request is refused at once, whatever else waits; nil
-// if it may wait, with what it has to expect.
-func (s *shard) admissible(e *entry, turn *turn) (estimate, *result.Refusal) {
+// checkAdmission returns the expected wait of a request, or the refusal of one
+// that can't be served in time, regardless of the queues' limits.
+func (s *shard) checkAdmission(e *entry, section *criticalSection) (estimate, *result.Refusal) {
 	var expected estimate
 	if s.gateway.drain.draining.Load() {
 		return expected, refusalf(result.NodeDraining, "this node is being stopped")
 	}
-	if !e.refuseAt.After(turn.now) {
+	if !e.refuseAt.After(section.now) {
 		return expected, refusalf(result.DeadlinePassed, "the time limit was over when the request arrived")
 	}
 	capacity := e.group.router.Capacity(e.group.name)
 	if refusal := unservable(e, capacity); refusal != nil {
 		return expected, refusal
 	}
-	expected = e.group.estimate(e, capacity, turn.now)
-	if expected.unreachable(e.refuseAt.Sub(turn.now)) {
+	expected = e.group.estimate(e, capacity, section.now)
+	if expected.unreachable(e.refuseAt.Sub(section.now)) {
 		refusal := refusalf(result.DeadlineUnreachable, "the expected wait is %s, the time left %s",
-			expected.wait.Round(time.Millisecond), e.refuseAt.Sub(turn.now).Round(time.Millisecond))
+			expected.wait.Round(time.Millisecond), e.refuseAt.Sub(section.now).Round(time.Millisecond))
 		refusal.RetryAfter = expected.retryAfter()
 		return expected, refusal
 	}
 	return expected, nil
 }
 
-// unservable refuses a request that no cell and no server can take.
+// unservable returns a refusal if no endpoint is usable and no cell can load the
+// model; otherwise nil.
 func unservable(e *entry, capacity router.Capacity) *result.Refusal {
 	if capacity.Refused == "" || capacity.Usable > 0 {
 		return nil
 	}
 	refusal := refusalf(result.NoBackEnd, "the model can't be loaded: %s", capacity.Refused)
-	refusal.RetryAfter = unknownRetryAfter
+	refusal.RetryAfter = defaultRetryAfter
 	return refusal
 }
 
-// makeRoom keeps a group's queue bounded: a full one takes a request only at the
-// cost of one of lower priority, or of a tenant above its share.
-func (s *shard) makeRoom(e *entry, estimate estimate, turn *turn) *result.Refusal {
+// enforceQueueLength bounds a group's queue: a full queue admits a request only
+// by displacing one of lower priority or of a flow above its fair share.
+func (s *shard) enforceQueueLength(e *entry, estimate estimate, section *criticalSection) *result.Refusal {
 	if e.group.waiting < s.gateway.config.Limits.QueueLength {
 		return nil
 	}
-	if victim := e.group.lowerThan(e.request.Priority); victim != nil {
-		s.displace(victim, result.Displaced, "gave way to a request of higher priority", estimate, turn)
+	if victim := e.group.displacementCandidate(e.request.Priority); victim != nil {
+		s.displace(victim, result.Displaced, "gave way to a request of higher priority", estimate, section)
 		return nil
 	}
-	return s.shareRoom(e, estimate, turn)
+	return s.enforceFairShare(e, estimate, section)
 }
 
-// shareRoom divides a full queue among the flows by weight.
-func (s *shard) shareRoom(e *entry, estimate estimate, turn *turn) *result.Refusal {
-	most := e.group.mostOverShare(e.request.Priority)
+// enforceFairShare divides a full queue among the flows by weight: it displaces
+// a request of the flow most above its share, or refuses the new one.
+func (s *shard) enforceFairShare(e *entry, estimate estimate, section *criticalSection) *result.Refusal {
+	heaviest := e.group.mostOverShare(e.request.Priority)
 	switch {
-	case most == nil || most == e.flow && e.group.occupiedFlows() == 1:
+	case heaviest == nil || heaviest == e.flow && e.group.occupiedFlows() == 1:
 		return queueRefusal(result.QueueFull, "the queue of the model is full", estimate)
-	case most == e.flow || e.flow.load(1) > most.load(0):
+	case heaviest == e.flow || e.flow.load(1) > heaviest.load(0):
 		return queueRefusal(result.OverShare, "the tenant has used its share of the queue", estimate)
 	}
-	s.displace(most.last(e.request.Priority), result.OverShare, "gave way to a tenant below its share", estimate, turn)
+	s.displace(heaviest.lateEntry(e.request.Priority), result.OverShare, "gave way to a tenant below its share", estimate, section)
 	return nil
 }
 
@@ -137,24 +142,25 @@
 	return refusal
 }
 
-func (s *shard) displace(victim *entry, code result.Code, message string, estimate estimate, turn *turn) {
+// displace refuses a waiting request to free its place in the queue.
+func (s *shard) displace(victim *entry, code result.Code, message string, estimate estimate, section *criticalSection) {
 	refusal := queueRefusal(code, message, estimate)
-	s.giveUp(victim, *refusal, turn)
+	s.abort(victim, *refusal, section)
 }
 
-// enqueue puts an entry into its flow.
+// enqueue adds an entry to its flow's queue and to the waiting counts.
 func (s *shard) enqueue(e *entry) {
 	e.phase = phaseWaiting
 	e.group.push(e)
 	s.byPriority[e.request.Priority]++
-	s.gateway.room.add(&e.request, 1)
+	s.gateway.queueUsage.add(&e.request, 1)
 	e.flow.demand.waiting++
 }
 
-// dequeue takes an entry out of its flow.
+// dequeue removes an entry from its flow's queue and from the waiting counts.
 func (s *shard) dequeue(e *entry) {
 	e.group.remove(e)
 	s.byPriority[e.request.Priority]--
-	s.gateway.room.add(&e.request, -1)
+	s.gateway.queueUsage.add(&e.request, -1)
 	e.flow.demand.waiting--
 }
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -4,31 +4,30 @@
 	"github.com/hatchplank/hatchplank/internal/result"
 )
 
-// finish gives the complete answer.
-func (s *shard) finish(e *entry, answer Answer, turn *turn) {
+// finish answers the request successfully.
+func (s *shard) finish(e *entry, answer Answer, section *criticalSection) {
 	server := answer.Server
-	s.conclude(e, turn)
+	s.markFinal(e, section)
 	s.counts.served++
-	event := e.event(turn, EventServed)
+	event := e.event(section, EventServed)
 	event.Server = server
 	event.Replayed = answer.Replayed
-	e.post(turn, delivery{answer: &answer})
+	e.post(section, delivery{answer: &answer})
 }
 
-// refuse gives the final refusal of a request that is in no queue and has no
-// attempt.
-func (s *shard) refuse(e *entry, refusal result.Refusal, turn *turn) {
-	s.conclude(e, turn)
+// refuse answers the request with its final refusal. The caller must dequeue it
+// and cancel its attempt; abort does both.
+func (s *shard) refuse(e *entry, refusal result.Refusal, section *criticalSection) {
+	s.markFinal(e, section)
 	s.counts.refused[refusal.Code]++
-	event := e.event(turn, EventRefused)
+	event := e.event(section, EventRefused)
 	event.Refusal = refusal
-	e.post(turn, delivery{refusal: &refusal})
+	e.post(section, delivery{refusal: &refusal})
 }
 
-// giveUp refuses a request in any phase: what is waiting is taken from the
-// queue, what runs is cancelled, and a claim whose request is proved not to
-// have run is released.
-func (s *shard) giveUp(e *entry, refusal result.Refusal, turn *turn) {
+// abort refuses a request in any phase: it is removed from its queue, its attempt
+// is cancelled, and its claim is released if it is proved not to have run.
+func (s *shard) abort(e *entry, refusal result.Refusal, section *criticalSection) {
 	if e.phase == phaseFinal {
 		return
 	}
@@ -37,24 +36,25 @@
 	if phase == phaseWaiting {
 		s.dequeue(e)
 	}
-	s.refuse(e, refusal, turn)
+	s.refuse(e, refusal, section)
 	if phase == phaseRunning && e.attempt != nil {
-		s.stop(e.attempt, turn)
+		s.cancelAttempt(e.attempt, section)
 		return
 	}
 	s.releaseClaim(e)
 }
 
-// conclude ends the responsibility for a request.
-func (s *shard) conclude(e *entry, turn *turn) {
+// markFinal marks a request as finally answered and stops its timers.
+func (s *shard) markFinal(e *entry, section *criticalSection) {
 	e.phase = phaseFinal
 	s.unschedule(&e.expiry)
 	s.unschedule(&e.backOff)
-	turn.closed++
+	section.finishedWork++
 }
 
-// expire refuses a request whose deadline is near.
-func (s *shard) expire(e *entry, turn *turn) {
+// expire refuses a request whose refusal time has come, shortly before its
+// deadline.
+func (s *shard) expire(e *entry, section *criticalSection) {
 	if e.phase == phaseFinal {
 		return
 	}
@@ -63,14 +63,14 @@
 		code = result.OutcomeUnknown
 	}
 	refusal := refusalf(code, "the time limit is over")
-	refusal.RetryAfter = s.retryAfter(e, turn.now)
-	s.giveUp(e, *refusal, turn)
+	refusal.RetryAfter = s.retryAfter(e, section.now)
+	s.abort(e, *refusal, section)
 }
 
-// cancel tells that the caller is gone.
+// cancel aborts the request because the caller has disconnected.
 func (e *entry) cancel() {
 	s := e.shard
-	turn := s.begin()
-	s.giveUp(e, *refusalf(result.CallerGone, "the caller closed the connection"), turn)
-	s.end(turn)
+	section := s.lock()
+	s.abort(e, *refusalf(result.CallerGone, "the caller closed the connection"), section)
+	s.unlock(section)
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -8,42 +8,45 @@
 	"github.com/hatchplank/hatchplank/internal/router"
 )
 
-// abandonAfter is how long an attempt that was cancelled may take to end before
-// its place is given back all the same.
-const abandonAfter = 5 * time.Second
+// cancelTimeout is how long a cancelled attempt may take to end before its
+// reservation at the endpoint is released anyway.
+const cancelTimeout = 5 * time.Second
 
-// attempt is one dispatch of an entry to a back end. It is the sink of its own
-// stream, so that nothing of another attempt can reach it.
+// attempt is one dispatch of an entry to a back end. Each attempt is the sink of
+// its own stream, so that chunks of another attempt can't be mixed in.
 type attempt struct {
-	id      outside.AttemptID
-	entry   *entry
-	place   router.Reservation
-	started time.Time
-	// cancelled work is not waited for longer than abandonAfter.
-	cancel  func()
+	id          outside.AttemptID
+	entry       *entry
+	reservation router.Reservation
+	started     time.Time
+	// cancel stops a generation at its server; nil for a pool request.
+	cancel func()
+	// abandon fires cancelTimeout after the attempt was cancelled.
 	abandon timerItem
-	// ended: End or Failed came, or the attempt was abandoned.
+	// ended: the answer's end or a failure was received, or the attempt was
+	// abandoned.
 	ended bool
-	// stopped: the attempt was cancelled. The time it held its place counts as
-	// service time: to leave it out would keep only the short attempts, and so
-	// admit more than can be served.
-	stopped bool
-	// answered: the attempt's first chunk came.
+	// cancelled: the attempt was cancelled. The time that it occupied its
+	// endpoint still counts as service time: without it only the short attempts
+	// would be measured, and more would be admitted than can be served.
+	cancelled bool
+	// answered: the attempt's first chunk was received.
 	answered bool
 }
 
-// launch sends an attempt. The place is reserved, the claim, if any, held.
-func (s *shard) launch(e *entry, place router.Reservation, turn *turn) {
-	a := &attempt{id: s.gateway.newAttempt(), entry: e, place: place, started: turn.now}
+// launch sends a new attempt to its endpoint. The endpoint is already reserved,
+// and the claim, if one is needed, is held.
+func (s *shard) launch(e *entry, reservation router.Reservation, section *criticalSection) {
+	a := &attempt{id: s.gateway.newAttempt(), entry: e, reservation: reservation, started: section.now}
 	a.abandon = timerItem{kind: timerAbandon, attempt: a}
 	e.phase = phaseRunning
 	e.attempt = a
 	e.attempts++
-	e.dispatchedAt = turn.now
+	e.dispatchedAt = section.now
 	e.group.running++
 	e.flow.demand.running++
-	s.gateway.drain.open.Add(1)
-	a.note(e.event(turn, EventDispatched))
+	s.gateway.drain.openWork.Add(1)
+	a.annotate(e.event(section, EventDispatched))
 	if e.isPool() {
 		s.gateway.config.BackEnds.Call(a.backEndRequest(), a.responded)
 		return
@@ -51,21 +54,22 @@
 	a.cancel = s.gateway.config.Engines.Generate(a.generateRequest(), a)
 }
 
-func (a *attempt) note(event *Event) {
+// annotate adds the attempt's identity and endpoint to an event.
+func (a *attempt) annotate(event *Event) {
 	event.Attempt = a.id
-	event.Server = a.place.Endpoint.Server
-	event.Slot = a.place.Endpoint.Slot
+	event.Server = a.reservation.Endpoint.Server
+	event.Slot = a.reservation.Endpoint.Slot
 }
 
 func (a *attempt) generateRequest() outside.GenerateRequest {
 	e := a.entry
 	return outside.GenerateRequest{
-		Server:     a.place.Endpoint.Server,
+		Server:     a.reservation.Endpoint.Server,
 		Attempt:    a.id,
 		RequestID:  e.request.ID,
 		Model:      baseOf(e.row),
 		Adapter:    e.stream.routing.Adapter,
-		Version:    a.place.Endpoint.Version,
+		Version:    a.reservation.Endpoint.Version,
 		Path:       e.request.Path,
 		Body:       e.request.Body,
 		Priority:   e.request.Priority,
@@ -78,7 +82,7 @@
 func (a *attempt) backEndRequest() outside.BackEndRequest {
 	e := a.entry
 	return outside.BackEndRequest{
-		Server:      a.place.Endpoint.Server,
+		Server:      a.reservation.Endpoint.Server,
 		Attempt:     a.id,
 		RequestID:   e.request.ID,
 		Key:         e.request.Key,
@@ -90,93 +94,97 @@
 	}
 }
 
-// current reports whether the entry still waits for this attempt.
+// current reports whether this is the attempt that the entry is waiting for.
 func (a *attempt) current() bool {
 	return !a.ended && a.entry.attempt == a && a.entry.phase == phaseRunning
 }
 
-// names reports whether a piece of an answer belongs to this attempt.
-func (a *attempt) names(id outside.AttemptID) bool {
+// matches reports whether a chunk or end with the id belongs to this attempt.
+func (a *attempt) matches(id outside.AttemptID) bool {
 	return id == a.id || a.entry.shard.gateway.config.IgnoreAttemptIdentity
 }
 
 // Chunk implements outside.GenerateSink.
 func (a *attempt) Chunk(chunk outside.Chunk) {
 	s := a.entry.shard
-	turn := s.begin()
-	if a.names(chunk.Attempt) && a.current() {
-		s.receive(a, chunk, turn)
+	section := s.lock()
+	if a.matches(chunk.Attempt) && a.current() {
+		s.receiveChunk(a, chunk, section)
 	}
-	s.end(turn)
+	s.unlock(section)
 }
 
-// End implements outside.GenerateSink. The end of a stream with chunks missing
-// is a failure.
+// End implements outside.GenerateSink. The end of a stream of which chunks are
+// missing is a failure.
 func (a *attempt) End(end outside.GenerateEnd) {
 	s := a.entry.shard
-	turn := s.begin()
-	if a.names(end.Attempt) && !a.ended {
-		s.streamEnded(a, end, turn)
+	section := s.lock()
+	if a.matches(end.Attempt) && !a.ended {
+		s.streamEnded(a, end, section)
 	}
-	s.end(turn)
+	s.unlock(section)
 }
 
 // Failed implements outside.GenerateSink.
 func (a *attempt) Failed(err *outside.AttemptError) {
 	s := a.entry.shard
-	turn := s.begin()
+	section := s.lock()
 	if err == nil {
 		err = &outside.AttemptError{Attempt: a.id, Ran: result.RanUnknown, Reason: reasonFailed}
 	}
 	if err.Attempt == a.id && !a.ended {
-		s.settle(a, outcomeOf(err), &err.Load, turn)
-		s.failed(a, err.Ran, err.Reason, turn)
+		s.finishAttempt(a, outcomeOf(err), &err.Load, section)
+		s.attemptFailed(a, err.Ran, err.Reason, section)
 	}
-	s.end(turn)
+	s.unlock(section)
 }
 
-// settle ends an attempt and gives its place back, exactly once.
-func (s *shard) settle(a *attempt, outcome router.Outcome, load *outside.LoadHint, turn *turn) {
+// finishAttempt marks an attempt as ended and releases its reservation at the
+// endpoint. It is called exactly once for each attempt.
+func (s *shard) finishAttempt(a *attempt, outcome router.Outcome, load *outside.LoadHint, section *criticalSection) {
 	a.ended = true
 	s.unschedule(&a.abandon)
 	g := a.entry.group
 	g.running--
-	g.lastUsed = turn.now
+	g.lastUsed = section.now
 	a.entry.flow.demand.running--
-	g.router.Done(a.place, outcome, load)
-	if outcome == router.Succeeded || a.stopped {
-		g.service.add(turn.now.Sub(a.started))
+	g.router.Done(a.reservation, outcome, load)
+	if outcome == router.Succeeded || a.cancelled {
+		g.service.add(section.now.Sub(a.started))
 	}
 	if load != nil && load.Leaving {
-		turn.rejects = append(turn.rejects, a.rejection(true))
+		section.rejects = append(section.rejects, a.rejection(true))
 	}
-	turn.closed++
+	section.finishedWork++
 }
 
+// rejection identifies the attempt's endpoint for reject.
 func (a *attempt) rejection(leaving bool) rejection {
 	return rejection{
 		pool:    a.entry.isPool(),
 		leaving: leaving,
 		model:   a.entry.group.name,
-		server:  a.place.Endpoint.Server,
-		slot:    a.place.Endpoint.Slot,
+		server:  a.reservation.Endpoint.Server,
+		slot:    a.reservation.Endpoint.Slot,
 	}
 }
 
-// stop cancels an attempt whose result is no longer wanted.
-func (s *shard) stop(a *attempt, turn *turn) {
+// cancelAttempt cancels an attempt whose result is no longer needed.
+func (s *shard) cancelAttempt(a *attempt, section *criticalSection) {
 	if a.ended {
 		return
 	}
-	a.stopped = true
-	s.schedule(&a.abandon, turn.now.Add(abandonAfter))
+	a.cancelled = true
+	s.schedule(&a.abandon, section.now.Add(cancelTimeout))
 	if a.cancel != nil {
 		a.cancel()
 	}
 }
 
-// abandoned gives back the place of an attempt that does not end.
-func (s *shard) abandoned(a *attempt, turn *turn) {
+// abandonAttempt releases the reservation of a cancelled attempt that did not
+// end within cancelTimeout. An engine that never sent a chunk counts as
+// unreachable.
+func (s *shard) abandonAttempt(a *attempt, section *criticalSection) {
 	if a.ended {
 		return
 	}
@@ -184,6 +192,6 @@
 	if !a.answered && !a.entry.isPool() {
 		outcome = router.Unreachable
 	}
-	s.settle(a, outcome, nil, turn)
-	s.dispatch(a.entry.group, turn)
+	s.finishAttempt(a, outcome, nil, section)
+	s.dispatch(a.entry.group, section)
 }
--- a/internal/gateway/benchmark_test.go
+++ b/internal/gateway/benchmark_test.go
@@ -10,23 +10,23 @@
 	"github.com/hatchplank/hatchplank/internal/result"
 )
 
-// discard is a responder that keeps nothing.
+// discard is a responder that ignores all calls.
 type discard struct{}
 
 func (discard) Chunk(outside.Chunk)   {}
 func (discard) Finish(Answer)         {}
 func (discard) Refuse(result.Refusal) {}
 
-func warmBench(batch int) *bench {
-	b := newBench(1, Limits{QueueLength: 1 << 20, Waiting: 1 << 20})
+func warmHarness(batch int) *harness {
+	b := newHarness(1, Limits{QueueLength: 1 << 20, Waiting: 1 << 20})
 	b.warm(batch, "s1", "s2", "s3", "s4")
 	return b
 }
 
-// BenchmarkRequest measures one request from Submit to Finish with three
-// chunks, fakes and virtual clock included.
+// BenchmarkRequest measures one request with three chunks from Submit to Finish,
+// including the cost of the fakes and the virtual clock.
 func BenchmarkRequest(bm *testing.B) {
-	b := warmBench(64)
+	b := warmHarness(64)
 	request := b.generation(time.Second)
 	bm.ReportAllocs()
 	for bm.Loop() {
@@ -38,9 +38,9 @@
 	}
 }
 
-// BenchmarkChunk measures the relay of one chunk.
+// BenchmarkChunk measures relaying one chunk.
 func BenchmarkChunk(bm *testing.B) {
-	b := warmBench(64)
+	b := warmHarness(64)
 	var call *engineCall
 	b.engines.serve = func(started *engineCall) { call = started }
 	b.gateway.Submit(b.generation(time.Hour), discard{})
@@ -54,11 +54,11 @@
 	bm.ReportMetric(float64(bm.N)/bm.Elapsed().Seconds(), "chunks/s")
 }
 
-// BenchmarkWaiting measures the memory of a waiting request beyond its body,
-// and the cost of one more when 100,000 wait.
+// BenchmarkWaiting measures the memory of a waiting request without its body, and
+// the cost of queueing and cancelling one more when 100,000 wait.
 func BenchmarkWaiting(bm *testing.B) {
 	const waiting = 100_000
-	b := warmBench(1)
+	b := warmHarness(1)
 	b.engines.serve = func(*engineCall) {}
 	before := heapInUse()
 	for index := range waiting {
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// retryBudget is a token bucket that bounds retries to a part of the requests,
-// so that they can't multiply a failure.
+// retryBudget is a token bucket that limits retries to a fraction of the
+// requests, so that retries can't amplify a failure.
 type retryBudget struct {
 	mutex  sync.Mutex
 	tokens float64
@@ -15,14 +15,14 @@
 	return retryBudget{tokens: burst, ratio: ratio, burst: burst}
 }
 
-// earn counts a request's first attempt.
-func (b *retryBudget) earn() {
+// refill adds the tokens that a request's first attempt earns.
+func (b *retryBudget) refill() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.tokens = min(b.tokens+b.ratio, b.burst)
 }
 
-// take takes one retry if there is one.
+// take removes the token for one retry and reports whether there was one.
 func (b *retryBudget) take() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -33,8 +33,8 @@
 	return true
 }
 
-// giveBack returns a retry that was not used.
-func (b *retryBudget) giveBack() {
+// refund returns the token of a retry that was not made.
+func (b *retryBudget) refund() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.tokens = min(b.tokens+1, b.burst)
--- a/internal/gateway/claim.go
+++ b/internal/gateway/claim.go
@@ -10,48 +10,50 @@
 	"github.com/hatchplank/hatchplank/internal/router"
 )
 
-// longestClaim is how long a place stays reserved for a claim. After that the
-// endpoint may have changed, and is chosen anew.
-const longestClaim = 500 * time.Millisecond
+// maxClaimWait is how long an endpoint stays reserved while a key is claimed.
+// After that the endpoint's state may have changed, so the router picks again.
+const maxClaimWait = 500 * time.Millisecond
 
-// claim asks for the key of a non-repeatable request, while its place stays
-// reserved.
-func (s *shard) claim(e *entry, place router.Reservation, turn *turn) {
+// claim requests the key of a non-repeatable request. Its endpoint stays
+// reserved meanwhile.
+func (s *shard) claim(e *entry, reservation router.Reservation, section *criticalSection) {
 	e.phase = phaseClaiming
-	e.claim.asked = turn.now
+	e.claim.requestedAt = section.now
 	if e.claim.attempt == "" {
 		e.claim.attempt = s.gateway.newAttempt()
 	}
-	s.gateway.drain.open.Add(1)
+	s.gateway.drain.openWork.Add(1)
 	s.gateway.config.Claims.Claim(e.claimKey(), e.claim.attempt, digest(&e.request), e.refuseAt, func(outcome claims.Result) {
-		s.claimed(e, place, outcome)
+		s.claimDecided(e, reservation, outcome)
 	})
 }
 
-// claimed handles a claim's result, which may come after the request's end.
-func (s *shard) claimed(e *entry, place router.Reservation, outcome claims.Result) {
-	turn := s.begin()
-	turn.closed++
+// claimDecided handles a claim's result, which may arrive after the request got
+// its final answer.
+func (s *shard) claimDecided(e *entry, reservation router.Reservation, outcome claims.Result) {
+	section := s.lock()
+	section.finishedWork++
 	e.claim.held = outcome.Verdict == claims.Granted
-	if e.phase == phaseClaiming && e.claim.held && s.inTime(e, turn.now) {
-		s.launch(e, place, turn)
+	if e.phase == phaseClaiming && e.claim.held && s.claimInTime(e, section.now) {
+		s.launch(e, reservation, section)
 	} else {
-		e.group.router.Done(place, router.Neutral, nil)
-		s.notLaunched(e, outcome, turn)
+		e.group.router.Done(reservation, router.Neutral, nil)
+		s.claimNotUsed(e, outcome, section)
 	}
-	s.dispatch(e.group, turn)
-	s.end(turn)
+	s.dispatch(e.group, section)
+	s.unlock(section)
 }
 
-// inTime reports whether the reserved place may still be used.
-func (s *shard) inTime(e *entry, now time.Time) bool {
-	return now.Sub(e.claim.asked) <= longestClaim && now.Before(e.refuseAt)
+// claimInTime reports whether the reserved endpoint may still be used.
+func (s *shard) claimInTime(e *entry, now time.Time) bool {
+	return now.Sub(e.claim.requestedAt) <= maxClaimWait && now.Before(e.refuseAt)
 }
 
-// notLaunched handles a claim's result that leads to no attempt.
-func (s *shard) notLaunched(e *entry, outcome claims.Result, turn *turn) {
+// claimNotUsed handles a claim's result that does not lead to an attempt.
+func (s *shard) claimNotUsed(e *entry, outcome claims.Result, section *criticalSection) {
 	if outcome.Verdict == claims.Unavailable {
-		// A minority may have granted the claim; it is not used.
+		// A minority of the claim's replicas may have granted it; release those
+		// votes.
 		s.gateway.config.Claims.Release(e.claimKey(), e.claim.attempt)
 	}
 	switch {
@@ -60,48 +62,51 @@
 	case e.claim.held:
 		s.enqueue(e)
 	default:
-		s.claimRefused(e, outcome, turn)
+		s.claimRefused(e, outcome, section)
 	}
 }
 
-// claimRefused answers a request whose key was not granted to it.
-func (s *shard) claimRefused(e *entry, outcome claims.Result, turn *turn) {
+// claimRefused answers a request whose claim was not granted.
+func (s *shard) claimRefused(e *entry, outcome claims.Result, section *criticalSection) {
 	switch outcome.Verdict {
 	case claims.Conflict:
-		s.giveUp(e, *refusalf(result.KeyConflict, "the key was used for another request"), turn)
+		s.abort(e, *refusalf(result.KeyConflict, "the key was used for another request"), section)
 	case claims.Denied:
-		s.denied(e, outcome, turn)
+		s.claimDenied(e, outcome, section)
 	default:
 		refusal := refusalf(result.ClaimUnavailable, "the key could not be claimed in time")
-		refusal.RetryAfter = unknownRetryAfter
-		s.giveUp(e, *refusal, turn)
+		refusal.RetryAfter = defaultRetryAfter
+		s.abort(e, *refusal, section)
 	}
 }
 
-// denied gives back the outcome of the run that holds the key.
-func (s *shard) denied(e *entry, outcome claims.Result, turn *turn) {
+// claimDenied answers with the outcome of the attempt that holds the key, or
+// refuses the request if no outcome is recorded.
+func (s *shard) claimDenied(e *entry, outcome claims.Result, section *criticalSection) {
 	if outcome.Outcome == nil {
 		refusal := refusalf(result.AlreadyClaimed, "another attempt holds the key and its outcome is not recorded")
 		refusal.Ran = result.RanUnknown
-		refusal.RetryAfter = unknownRetryAfter
-		s.giveUp(e, *refusal, turn)
+		refusal.RetryAfter = defaultRetryAfter
+		s.abort(e, *refusal, section)
 		return
 	}
 	if outcome.Outcome.Truncated {
-		s.refuseTruncated(e, turn)
+		s.refuseTruncated(e, section)
 		return
 	}
-	s.replay(e, *outcome.Outcome, turn)
+	s.replay(e, *outcome.Outcome, section)
 }
 
-func (s *shard) refuseTruncated(e *entry, turn *turn) {
+// refuseTruncated refuses a request that ran earlier, but whose recorded outcome
+// can't be replayed.
+func (s *shard) refuseTruncated(e *entry, section *criticalSection) {
 	refusal := refusalf(result.AlreadyClaimed, "the request ran; its answer was too large to be kept")
 	refusal.Ran = result.RanYes
-	s.giveUp(e, *refusal, turn)
+	s.abort(e, *refusal, section)
 }
 
-// releaseClaim frees the key of a request that is given up and proved not to
-// have run.
+// releaseClaim releases the key of a refused request that is proved not to have
+// run.
 func (s *shard) releaseClaim(e *entry) {
 	if !e.claim.held || e.attempt != nil || e.ran != result.RanNo || e.stream.next > 0 {
 		return
@@ -110,7 +115,8 @@
 	s.gateway.config.Claims.Release(e.claimKey(), e.claim.attempt)
 }
 
-// digest is a hash of what makes two requests the same.
+// digest hashes the fields that must be equal for two requests with the same
+// key to count as the same request.
 func digest(request *Request) uint64 {
 	hash := xxhash.New()
 	for _, part := range []string{request.Model, request.Pool, request.Method, request.Path, request.ContentType} {
--- a/internal/gateway/concurrency_test.go
+++ b/internal/gateway/concurrency_test.go
@@ -18,7 +18,7 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// goroutineEngines answers each attempt on a goroutine of its own.
+// goroutineEngines answers each attempt on its own goroutine.
 type goroutineEngines struct{ outside.EngineService }
 
 func (goroutineEngines) Generate(request outside.GenerateRequest, sink outside.GenerateSink) func() {
@@ -39,18 +39,18 @@
 func (goroutineClaims) Record(claims.Key, outside.AttemptID, claims.Outcome) {}
 func (goroutineClaims) Release(claims.Key, outside.AttemptID)                {}
 
-// orderedCaller checks that its calls come in order and never overlap.
+// orderedCaller checks that its calls are made in order and never overlap.
 type orderedCaller struct {
-	inside atomic.Bool
-	next   int
-	finals int
-	broken *atomic.Int64
-	wait   *sync.WaitGroup
+	inside     atomic.Bool
+	next       int
+	finals     int
+	violations *atomic.Int64
+	wait       *sync.WaitGroup
 }
 
 func (c *orderedCaller) enter(ok bool) {
 	if !c.inside.CompareAndSwap(false, true) || !ok {
-		c.broken.Add(1)
+		c.violations.Add(1)
 	}
 }
 
@@ -76,21 +76,22 @@
 	c.wait.Done()
 }
 
-// TestConcurrentCallers submits and cancels from many goroutines, on real time.
+// TestConcurrentCallers submits and cancels requests from many goroutines, with
+// the system clock.
 func TestConcurrentCallers(t *testing.T) {
-	known := &fakeDirectory{snapshots: map[string]*directory.Snapshot{}}
-	known.set(testModel, 8, "s1", "s2")
+	endpoints := &fakeDirectory{snapshots: map[string]*directory.Snapshot{}}
+	endpoints.set(testModel, 8, "s1", "s2")
 	rows := &fakeTable{rows: map[string]table.Row{
 		testModel: {Name: testModel, Kind: table.KindModel, Version: "1", Weight: 1, MaxReplicas: 2, Repeatable: true},
 	}}
 	gateway := New(Config{
 		Clock: clock.System{}, Random: rand.New(rand.NewPCG(1, 1)), Node: "n", Table: rows, Logger: zerolog.Nop(),
-		Directory: quietDirectory{}, Engines: goroutineEngines{}, Claims: goroutineClaims{},
-		Router: router.New(router.Config{Clock: clock.System{}, Random: rand.New(rand.NewPCG(2, 2)), Source: known}),
+		Directory: noopDirectory{}, Engines: goroutineEngines{}, Claims: goroutineClaims{},
+		Router: router.New(router.Config{Clock: clock.System{}, Random: rand.New(rand.NewPCG(2, 2)), Source: endpoints}),
 	})
 	const callers, requests = 16, 100
 	var wait sync.WaitGroup
-	var broken atomic.Int64
+	var violations atomic.Int64
 	wait.Add(callers * requests)
 	for caller := range callers {
 		go func() {
@@ -100,7 +101,7 @@
 					Tenant: "alpha", Model: testModel, Accepted: now, Deadline: now.Add(time.Minute),
 					Key: "k", Repeatable: index%3 > 0, Priority: index % priorities,
 				}
-				cancel := gateway.Submit(request, &orderedCaller{broken: &broken, wait: &wait})
+				cancel := gateway.Submit(request, &orderedCaller{violations: &violations, wait: &wait})
 				if (index+caller)%5 == 0 {
 					go cancel()
 				}
@@ -111,8 +112,8 @@
 	drained := make(chan struct{})
 	gateway.Drain(func() { close(drained) })
 	<-drained
-	if broken.Load() > 0 {
-		t.Fatalf("%d calls of responders were out of order or overlapped", broken.Load())
+	if violations.Load() > 0 {
+		t.Fatalf("%d calls of responders were out of order or overlapped", violations.Load())
 	}
 	stats := gateway.Stats()
 	if stats.Submitted != callers*requests || stats.Open != 0 {
@@ -120,9 +121,9 @@
 	}
 }
 
-// quietDirectory ignores what it is told.
-type quietDirectory struct{}
+// noopDirectory ignores all calls.
+type noopDirectory struct{}
 
-func (quietDirectory) ReportDemand(string)                                 {}
-func (quietDirectory) Invalidate(string, outside.ServerID, outside.SlotID) {}
-func (quietDirectory) MarkLeaving(outside.ServerID)                        {}
+func (noopDirectory) ReportDemand(string)                                 {}
+func (noopDirectory) Invalidate(string, outside.ServerID, outside.SlotID) {}
+func (noopDirectory) MarkLeaving(outside.ServerID)                        {}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -14,38 +14,39 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// EndpointDirectory is what the gateway tells the directory. ReportDemand may be called
-// under a lock of the gateway, the others are not.
+// EndpointDirectory receives the gateway's reports about demand and endpoints.
+// ReportDemand may be called while the gateway holds a lock, the other methods are
+// not.
 type EndpointDirectory interface {
-	// ReportDemand asks for an endpoint of a row at once.
+	// ReportDemand reports that a row needs an endpoint now.
 	ReportDemand(row string)
 	// Invalidate removes an endpoint that refused a request as not loaded.
 	Invalidate(model string, server outside.ServerID, slot outside.SlotID)
-	// MarkLeaving stops new work for a server.
+	// MarkLeaving excludes a server that is shutting down from new requests.
 	MarkLeaving(server outside.ServerID)
 }
 
-// PoolDirectory knows the back-end pools.
+// PoolDirectory looks up the servers of the back-end pools.
 type PoolDirectory interface {
 	// Snapshot returns a pool's servers; nil if the pool is unknown.
 	Snapshot(pool string) *directory.Snapshot
-	// MarkLeaving stops new work for a server.
+	// MarkLeaving excludes a server that is shutting down from new requests.
 	MarkLeaving(server outside.ServerID)
 }
 
-// Config assembles a Gateway.
+// Config of a Gateway.
 type Config struct {
 	Clock  clock.Clock
 	Random *rand.Rand
 	// Node is this node's member id; it makes attempt ids unique.
 	Node  string
 	Table table.View
-	// Directory and Router are for engines.
+	// Directory and Router serve requests for models; Engines runs them.
 	Directory EndpointDirectory
 	Router    *router.Router
 	Engines   outside.EngineService
-	// Pools, PoolRouter and BackEnds are for back ends that are no engines;
-	// all nil if there are none.
+	// Pools, PoolRouter and BackEnds serve requests for back-end pools, whose
+	// servers are not inference engines; all nil if there are no pools.
 	Pools      PoolDirectory
 	PoolRouter *router.Router
 	BackEnds   outside.BackEndService
@@ -54,31 +55,36 @@
 	// Metrics may be nil.
 	Metrics Metrics
 	Limits  Limits
-	// IgnoreAttemptIdentity takes pieces of answers for their own whatever
-	// attempt they name; only for the checker's own tests.
+	// IgnoreAttemptIdentity disables the check that a chunk or end names the
+	// attempt that received it. It is set only to test that the checker detects
+	// the resulting violations.
 	IgnoreAttemptIdentity bool
 }
 
-// Limits bounds what the gateway takes on. Zero values mean the defaults.
+// Limits bounds the work that the gateway accepts. Zero values mean the defaults.
 type Limits struct {
-	// Shards is the number of independently locked parts.
+	// Shards is the number of independently locked partitions of the requests.
 	Shards int
-	// QueueLength is the most requests that wait for one base model or pool.
+	// QueueLength is the maximum number of requests waiting for one base model
+	// or pool.
 	QueueLength int
-	// Waiting and WaitingBytes bound all requests that wait at this node.
+	// Waiting and WaitingBytes bound the number of all requests waiting at this
+	// node and the total size of their bodies.
 	Waiting      int
 	WaitingBytes int64
-	// Margin is how long before its deadline a request is refused, but at most
-	// a tenth of its time limit.
+	// Margin is how long before its deadline an unanswered request is refused;
+	// at most a tenth of its time limit.
 	Margin time.Duration
-	// Attempts is the most attempts of one request.
+	// Attempts is the maximum number of attempts of one request. A request whose
+	// last attempt found its endpoint removed may have removedEndpointFactor
+	// times as many.
 	Attempts int
 	// RetryRatio is the number of retries allowed per request, and RetryBurst
-	// how many may be saved up per pool. A node saves up nodeBurstFactor times
-	// as many.
+	// the burst of the retry budget of one base model or pool. The burst of the
+	// node's budget is nodeBurstFactor times as large.
 	RetryRatio float64
 	RetryBurst float64
-	// RecordedBytes is the largest outcome kept for replay.
+	// RecordedBytes is the maximum size of an outcome kept for replay.
 	RecordedBytes int
 }
 
@@ -108,9 +114,9 @@
 	return l
 }
 
-func orDefault[Number int | int64 | float64 | time.Duration](value, standard Number) Number {
+func orDefault[Number int | int64 | float64 | time.Duration](value, fallback Number) Number {
 	if value > 0 {
 		return value
 	}
-	return standard
+	return fallback
 }
--- a/internal/gateway/critical_section.go
+++ b/internal/gateway/critical_section.go
@@ -8,25 +8,26 @@
 	"github.com/hatchplank/hatchplank/internal/result"
 )
 
-// delivery is one call of a responder; exactly one field group is set.
+// delivery is one call of a responder: Finish if answer is set, Refuse if refusal
+// is set, otherwise Chunk.
 type delivery struct {
 	chunk   outside.Chunk
 	answer  *Answer
 	refusal *result.Refusal
 }
 
-// turn collects, while a shard is locked, what is to be done after it was
-// unlocked.
-type turn struct {
+// criticalSection collects, while a shard is locked, the calls to be made after it
+// is unlocked, so that no callback runs under the lock.
+type criticalSection struct {
 	now        time.Time
 	deliveries []*entry
 	events     []Event
 	rejects    []rejection
-	// closed counts the work items that ended.
-	closed int64
+	// finishedWork is the number of open work items that ended.
+	finishedWork int64
 }
 
-// rejection is an endpoint that must get no more work.
+// rejection identifies an endpoint that must not get new requests.
 type rejection struct {
 	pool    bool
 	leaving bool
@@ -35,51 +36,51 @@
 	slot    outside.SlotID
 }
 
-var turns = sync.Pool{New: func() any { return new(turn) }}
+var criticalSectionPool = sync.Pool{New: func() any { return new(criticalSection) }}
 
-// begin locks the shard.
-func (s *shard) begin() *turn {
+// lock locks the shard and returns the critical section to pass to unlock.
+func (s *shard) lock() *criticalSection {
 	s.mutex.Lock()
-	turn := turns.Get().(*turn)
-	turn.now = s.gateway.config.Clock.Now()
-	return turn
+	section := criticalSectionPool.Get().(*criticalSection)
+	section.now = s.gateway.config.Clock.Now()
+	return section
 }
 
-// end unlocks the shard and does what was collected.
-func (s *shard) end(turn *turn) {
+// unlock unlocks the shard and makes the collected calls.
+func (s *shard) unlock(section *criticalSection) {
 	s.mutex.Unlock()
-	for _, entry := range turn.deliveries {
+	for _, entry := range section.deliveries {
 		entry.deliver()
 	}
-	for index := range turn.events {
-		s.gateway.report(&turn.events[index])
+	for index := range section.events {
+		s.gateway.report(&section.events[index])
 	}
-	for _, rejected := range turn.rejects {
+	for _, rejected := range section.rejects {
 		s.gateway.reject(rejected)
 	}
-	closed := turn.closed
-	turn.reset()
-	turns.Put(turn)
-	s.gateway.close(closed)
+	finished := section.finishedWork
+	section.reset()
+	criticalSectionPool.Put(section)
+	s.gateway.workFinished(finished)
 }
 
-func (t *turn) reset() {
-	clear(t.deliveries)
-	clear(t.events)
-	t.deliveries = t.deliveries[:0]
-	t.events = t.events[:0]
-	t.rejects = t.rejects[:0]
-	t.closed = 0
+func (c *criticalSection) reset() {
+	clear(c.deliveries)
+	clear(c.events)
+	c.deliveries = c.deliveries[:0]
+	c.events = c.events[:0]
+	c.rejects = c.rejects[:0]
+	c.finishedWork = 0
 }
 
-// post queues a call of the entry's responder.
-func (e *entry) post(turn *turn, call delivery) {
+// post adds a call to the entry's outbox, to be made when the shard is unlocked.
+func (e *entry) post(section *criticalSection, call delivery) {
 	e.outbox = append(e.outbox, call)
-	turn.deliveries = append(turn.deliveries, e)
+	section.deliveries = append(section.deliveries, e)
 }
 
-// deliver makes the queued calls in order. If another goroutine is at it
-// already, that one makes them.
+// deliver makes the responder's pending calls in order. If another goroutine is
+// delivering, that one makes them, so that calls never overlap.
 func (e *entry) deliver() {
 	e.shard.mutex.Lock()
 	defer e.shard.mutex.Unlock()
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -10,38 +10,41 @@
 )
 
 const (
-	// rateWindow is the time constant of the arrival rate.
+	// rateWindow is the time constant of the arrival rate's exponential decay.
 	rateWindow = 5 * time.Second
-	// activeWindow is how long after its last request a row has traffic.
+	// activeWindow is how long after its last request an idle row stays active.
 	activeWindow = 10 * time.Second
-	// wantInterval is the shortest time between two urgent reports of a row.
-	wantInterval = 100 * time.Millisecond
+	// minReportInterval is the minimum time between two immediate demand reports
+	// of a row.
+	minReportInterval = 100 * time.Millisecond
 )
 
-// rowDemand counts the traffic for one row as it changes.
+// rowDemand tracks the requests for one row.
 type rowDemand struct {
-	// demand holds the row's name and the arrivals since the last report.
-	demand   directory.Demand
-	pool     bool
-	flows    []*flow
-	waiting  int
-	running  int
-	arrivals arrivals
-	wantedAt time.Time
+	// demand holds the row's name and the arrivals since the last report; the
+	// other fields are filled in by collect.
+	demand     directory.Demand
+	pool       bool
+	flows      []*flow
+	waiting    int
+	running    int
+	arrivals   arrivals
+	reportedAt time.Time
 }
 
-// arrivals is a rate of arrivals per second, as of the last one.
+// arrivals is an exponentially decaying rate of arrivals per second, as of the
+// last arrival.
 type arrivals struct {
 	rate float64
 	last time.Time
 }
 
-func (a *arrivals) note(now time.Time) {
+func (a *arrivals) record(now time.Time) {
 	a.rate = a.rateAt(now) + 1/rateWindow.Seconds()
 	a.last = now
 }
 
-// rateAt is the rate now, fading since the last arrival.
+// rateAt returns the rate at a time, decayed since the last arrival.
 func (a *arrivals) rateAt(now time.Time) float64 {
 	if a.rate == 0 {
 		return 0
@@ -49,37 +52,39 @@
 	return a.rate * math.Exp(-now.Sub(a.last).Seconds()/rateWindow.Seconds())
 }
 
-// noteArrival counts a request. A row whose traffic begins is reported at once,
-// so that its owner sends updates from now on.
-func (s *shard) noteArrival(d *rowDemand, now time.Time) {
+// recordArrival counts a request. A row that becomes active is reported at once,
+// so that its owner starts to send endpoint updates.
+func (s *shard) recordArrival(d *rowDemand, now time.Time) {
 	if d.pool {
 		return
 	}
-	d.arrivals.note(now)
+	d.arrivals.record(now)
 	d.demand.Arrivals++
 	if !s.active[d] {
 		s.active[d] = true
-		s.want(d, now)
+		s.reportDemand(d, now)
 	}
 }
 
-// want reports a row's demand at once, but not too often.
-func (s *shard) want(d *rowDemand, now time.Time) {
-	if d.pool || now.Sub(d.wantedAt) < wantInterval {
+// reportDemand reports a row's demand immediately, at most once in
+// minReportInterval.
+func (s *shard) reportDemand(d *rowDemand, now time.Time) {
+	if d.pool || now.Sub(d.reportedAt) < minReportInterval {
 		return
 	}
-	d.wantedAt = now
+	d.reportedAt = now
 	s.gateway.config.Directory.ReportDemand(d.demand.Row)
 }
 
-// wantIfCold reports a row whose request was refused for want of an endpoint.
-func (s *shard) wantIfCold(e *entry, turn *turn) {
+// reportDemandIfCold reports the demand of a refused request's row if the group
+// has no usable endpoint.
+func (s *shard) reportDemandIfCold(e *entry, section *criticalSection) {
 	if !e.isPool() && e.group.router.Capacity(e.group.name).Usable == 0 {
-		s.want(e.flow.demand, turn.now)
+		s.reportDemand(e.flow.demand, section.now)
 	}
 }
 
-// collect returns the demand and starts a new count of arrivals.
+// collect returns the demand and resets the count of arrivals.
 func (d *rowDemand) collect(now time.Time) directory.Demand {
 	collected := d.demand
 	d.demand.Arrivals = 0
@@ -94,9 +99,10 @@
 	return collected
 }
 
-// addTo adds the extremes of the flow's waiting requests.
+// addTo merges the highest priority, the earliest deadline and the longest wait
+// of the flow's waiting requests into the demand.
 func (f *flow) addTo(demand *directory.Demand) {
-	demand.HighestPriority = max(demand.HighestPriority, f.top())
+	demand.HighestPriority = max(demand.HighestPriority, f.topPriority())
 	earliest := f.earliest().request.Deadline
 	if demand.EarliestDeadline.IsZero() || earliest.Before(demand.EarliestDeadline) {
 		demand.EarliestDeadline = earliest
@@ -107,11 +113,12 @@
 	}
 }
 
-// DemandOf implements directory.DemandSource.
+// DemandOf implements directory.DemandSource. It returns false if this node has
+// no record of requests for the row.
 func (g *Gateway) DemandOf(row string, now time.Time) (directory.Demand, bool) {
 	base := row
-	if known, found := g.config.Table.Row(row); found {
-		base = baseOf(known)
+	if tableRow, found := g.config.Table.Row(row); found {
+		base = baseOf(tableRow)
 	}
 	shard := g.shardOf(base)
 	shard.mutex.Lock()
@@ -123,7 +130,8 @@
 	return group.rows[row].collect(now), true
 }
 
-// Demands implements directory.DemandSource.
+// Demands implements directory.DemandSource. It returns the demand of all active
+// rows, or only of those with waiting requests, sorted by row.
 func (g *Gateway) Demands(now time.Time, all bool) []directory.Demand {
 	var demands []directory.Demand
 	for _, shard := range g.shards {
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -7,8 +7,8 @@
 	"github.com/hatchplank/hatchplank/internal/router"
 )
 
-// dispatch gives waiting requests to endpoints while there are places.
-func (s *shard) dispatch(g *group, turn *turn) {
+// dispatch sends waiting requests to endpoints while these have free capacity.
+func (s *shard) dispatch(g *group, section *criticalSection) {
 	g.pass++
 	for {
 		flow := g.next()
@@ -16,32 +16,34 @@
 			return
 		}
 		e := flow.head()
-		if s.refuseHopeless(e, turn) {
+		if s.refuseIfInfeasible(e, section) {
 			continue
 		}
 		choice := g.router.Pick(g.name, e.routing())
 		if choice.Verdict == router.Reserved {
-			s.start(e, choice.Reservation, turn)
+			s.dispatchTo(e, choice.Reservation, section)
 			continue
 		}
-		if s.blocked(e, choice, turn) {
+		if s.blocked(e, choice, section) {
 			return
 		}
 	}
 }
 
-// routing is what the router must know of the request.
+// routing returns the routing constraints of the entry's next attempt.
 func (e *entry) routing() *router.Request {
 	e.stream.routing.Avoid = e.avoid
 	e.stream.routing.PinnedVersion = e.flow.key.version
 	return &e.stream.routing
 }
 
-// refuseHopeless refuses a request that would probably use a place in vain,
-// because an attempt may take longer than the time left, if another waits for
-// the place.
-func (s *shard) refuseHopeless(e *entry, turn *turn) bool {
-	left := e.refuseAt.Sub(turn.now)
+// refuseIfInfeasible refuses a request that would probably occupy an endpoint
+// without being finished, because an attempt may take longer than the time left,
+// provided that another request waits; and a request whose refusal time has come.
+// A request with more than half of its time left is kept. It reports whether the
+// request was refused.
+func (s *shard) refuseIfInfeasible(e *entry, section *criticalSection) bool {
+	left := e.refuseAt.Sub(section.now)
 	if left > 0 && (e.group.waiting < 2 || float64(left) >= e.group.service.high) {
 		return false
 	}
@@ -53,55 +55,57 @@
 		code = result.DeadlinePassed
 	}
 	refusal := refusalf(code, "the time left, %s, is too short", left.Round(time.Millisecond))
-	refusal.RetryAfter = s.retryAfter(e, turn.now)
-	s.giveUp(e, *refusal, turn)
+	refusal.RetryAfter = s.retryAfter(e, section.now)
+	s.abort(e, *refusal, section)
 	return true
 }
 
-// blocked handles a request for which there is no place, and reports whether
-// the whole group is blocked.
-func (s *shard) blocked(e *entry, choice router.Choice, turn *turn) bool {
+// blocked handles a request that no endpoint can take now, and reports whether
+// that holds for the whole group.
+func (s *shard) blocked(e *entry, choice router.Choice, section *criticalSection) bool {
 	e.flow.blockedPass = e.group.pass
 	switch choice.Verdict {
 	case router.Full:
-		return e.plainRouting()
+		return e.unconstrained()
 	case router.CircuitOpen:
 		if !choice.RetryAt.IsZero() {
-			s.wakeAt(e.group, choice.RetryAt, turn.now)
+			s.scheduleDispatch(e.group, choice.RetryAt, section.now)
 		}
 	case router.NoEndpoint:
-		s.noEndpoint(e, turn)
+		s.noEndpoint(e, section)
 	}
 	return false
 }
 
-// plainRouting reports whether any endpoint of the group could take the
-// request, so that what blocks it blocks all.
-func (e *entry) plainRouting() bool {
+// unconstrained reports whether the request needs neither an adapter nor a
+// specific version. Any endpoint of the group could take it, so if it is blocked,
+// all others are.
+func (e *entry) unconstrained() bool {
 	return e.stream.routing.Adapter == "" && e.flow.key.version == ""
 }
 
-// noEndpoint handles a request that no known endpoint can take: a model is
-// asked for, a pool has nothing to wait for, and a stream that has begun is
-// broken if no endpoint has its version and none will be loaded with it.
-func (s *shard) noEndpoint(e *entry, turn *turn) {
+// noEndpoint handles a request for which no suitable endpoint exists. For a model
+// the demand is reported and the request waits for a replica. A pool request is
+// refused, since nothing will be loaded. A stream that has begun is refused as
+// broken if no replica of its version will be loaded any more.
+func (s *shard) noEndpoint(e *entry, section *criticalSection) {
 	switch {
 	case e.isPool():
 		refusal := refusalf(result.NoBackEnd, "no server of the pool takes requests")
-		refusal.RetryAfter = unknownRetryAfter
-		s.giveUp(e, *refusal, turn)
+		refusal.RetryAfter = defaultRetryAfter
+		s.abort(e, *refusal, section)
 		e.flow.blockedPass = 0
 	case e.flow.key.version != "" && e.flow.key.version != s.gateway.currentVersion(e):
-		s.giveUp(e, *refusalf(result.StreamBroken, "no replica of version %s can continue the stream", e.flow.key.version), turn)
+		s.abort(e, *refusalf(result.StreamBroken, "no replica of version %s can continue the stream", e.flow.key.version), section)
 		e.flow.blockedPass = 0
 	default:
 		e.cold = true
-		s.want(e.flow.demand, turn.now)
+		s.reportDemand(e.flow.demand, section.now)
 	}
 }
 
-// currentVersion is the version that replicas of the entry's base model are
-// loaded with now; empty: none is.
+// currentVersion returns the version that new replicas of the entry's base model
+// are loaded with; empty if none is to be loaded.
 func (g *Gateway) currentVersion(e *entry) string {
 	base, known := g.config.Table.Row(e.group.name)
 	if !known || base.MaxReplicas == 0 {
@@ -110,33 +114,35 @@
 	return base.Version
 }
 
-// wakeAt makes the group try again at a time, or earlier.
-func (s *shard) wakeAt(g *group, at, now time.Time) {
-	if g.wake.position > 0 && g.wake.at.After(now) && !at.Before(g.wake.at) {
+// scheduleDispatch schedules a dispatch of the group at the given time, unless an
+// earlier one is scheduled.
+func (s *shard) scheduleDispatch(g *group, at, now time.Time) {
+	if g.dispatchTimer.position > 0 && g.dispatchTimer.at.After(now) && !at.Before(g.dispatchTimer.at) {
 		return
 	}
-	s.schedule(&g.wake, at)
+	s.schedule(&g.dispatchTimer, at)
 }
 
-// start gives an entry its reserved place: the key is claimed first if there
-// is one and it is not held yet.
-func (s *shard) start(e *entry, place router.Reservation, turn *turn) {
+// dispatchTo takes an entry from the queue and sends it to its reserved endpoint.
+// A key that is needed and not held yet is claimed first.
+func (s *shard) dispatchTo(e *entry, reservation router.Reservation, section *criticalSection) {
 	s.dequeue(e)
 	e.group.charge(e.flow)
 	if e.attempts == 0 {
-		e.group.budget.earn()
-		s.gateway.budget.earn()
+		e.group.budget.refill()
+		s.gateway.budget.refill()
 	}
 	if e.claim.needed && !e.claim.held {
-		s.claim(e, place, turn)
+		s.claim(e, reservation, section)
 		return
 	}
-	s.launch(e, place, turn)
+	s.launch(e, reservation, section)
 }
 
-// refuseUnreachable refuses the waiting requests whose deadline comes before
-// the first replica will be ready, or all if no cell can load the model.
-func (s *shard) refuseUnreachable(g *group, turn *turn) {
+// refuseUnreachableDeadlines refuses the waiting requests whose deadline is before
+// the time at which the first replica will be ready, or all of them if no cell can
+// load the model.
+func (s *shard) refuseUnreachableDeadlines(g *group, section *criticalSection) {
 	if g.waiting == 0 {
 		return
 	}
@@ -150,12 +156,12 @@
 			refusal := unservable(e, capacity)
 			if refusal == nil && capacity.ReadyAt.After(e.refuseAt) {
 				refusal = refusalf(result.DeadlineUnreachable, "the next replica will be ready after the time limit")
-				refusal.RetryAfter = s.retryAfter(e, turn.now)
+				refusal.RetryAfter = s.retryAfter(e, section.now)
 			}
 			if refusal == nil {
 				break
 			}
-			s.giveUp(e, *refusal, turn)
+			s.abort(e, *refusal, section)
 		}
 	}
 }
@@ -175,7 +181,8 @@
 	return earliest
 }
 
-// retryAfter estimates when a new try of the same request makes sense.
+// retryAfter estimates the delay after which the caller should send the request
+// again.
 func (s *shard) retryAfter(e *entry, now time.Time) time.Duration {
 	capacity := e.group.router.Capacity(e.group.name)
 	return e.group.estimate(e, capacity, now).retryAfter()
--- a/internal/gateway/displacement.go
+++ b/internal/gateway/displacement.go
@@ -6,69 +6,74 @@
 	"github.com/hatchplank/hatchplank/internal/result"
 )
 
-// mostDisplaced is how many waiting requests one newcomer may displace. A large
-// body that would cost more is refused.
-const mostDisplaced = 16
+// maxDisplaced is the maximum number of waiting requests that one new request may
+// displace. A request whose body would need more is refused.
+const maxDisplaced = 16
 
-// room counts what waits at the node against its bounds, for all shards.
-type room struct {
-	// requests and bytes of their bodies, by priority.
+// queueUsage counts the requests waiting at the node over all shards, for
+// Limits.Waiting and Limits.WaitingBytes.
+type queueUsage struct {
+	// requests, and bytes of their bodies, by priority.
 	requests, bytes [priorities]atomic.Int64
 }
 
-// add counts a request that begins (1) or ends (-1) to wait.
-func (r *room) add(request *Request, sign int64) {
-	r.requests[request.Priority].Add(sign)
-	r.bytes[request.Priority].Add(sign * int64(len(request.Body)))
+// add counts a request that enters (1) or leaves (-1) a queue.
+func (u *queueUsage) add(request *Request, sign int64) {
+	u.requests[request.Priority].Add(sign)
+	u.bytes[request.Priority].Add(sign * int64(len(request.Body)))
 }
 
-// below sums up what waits at lower priorities than the given one.
-func (r *room) below(priority int) (requests, bytes int64) {
+// below returns the requests and bytes waiting at priorities lower than the given
+// one.
+func (u *queueUsage) below(priority int) (requests, bytes int64) {
 	for lower := range priority {
-		requests += r.requests[lower].Load()
-		bytes += r.bytes[lower].Load()
+		requests += u.requests[lower].Load()
+		bytes += u.bytes[lower].Load()
 	}
 	return requests, bytes
 }
 
-func (r *room) all() (requests, bytes int64) { return r.below(priorities) }
+// total returns the requests and bytes waiting at all priorities.
+func (u *queueUsage) total() (requests, bytes int64) { return u.below(priorities) }
 
-// full reports whether the node's bounds keep the request out.
-func (g *Gateway) full(request *Request) bool {
-	requests, bytes := g.room.all()
+// queuesFull reports whether queueing the request would exceed the node's limits.
+func (g *Gateway) queuesFull(request *Request) bool {
+	requests, bytes := g.queueUsage.total()
 	limits := &g.config.Limits
 	return requests >= int64(limits.Waiting) || bytes+int64(len(request.Body)) > limits.WaitingBytes
 }
 
-// canMakeRoom reports whether the request fits if some of lower priority give
-// way, as many as one newcomer may displace.
-func (g *Gateway) canMakeRoom(request *Request) bool {
-	lower, lowerBytes := g.room.below(request.Priority)
+// canDisplaceFor estimates, from the average body size at lower priorities, whether
+// the request fits after displacing at most maxDisplaced requests of lower
+// priority.
+func (g *Gateway) canDisplaceFor(request *Request) bool {
+	lower, lowerBytes := g.queueUsage.below(request.Priority)
 	if lower == 0 {
 		return false
 	}
-	_, bytes := g.room.all()
+	_, bytes := g.queueUsage.total()
 	excess := bytes + int64(len(request.Body)) - g.config.Limits.WaitingBytes
-	return excess <= lowerBytes && excess*lower <= mostDisplaced*lowerBytes
+	return excess <= lowerBytes && excess*lower <= maxDisplaced*lowerBytes
 }
 
-// makeRoom refuses waiting requests of the lowest priorities, of whatever model,
-// until the newcomer fits. No shard is locked.
-func (g *Gateway) makeRoom(newcomer *Request) {
+// displaceFor displaces waiting requests of the lowest priorities, of any model,
+// until the new request fits or maxDisplaced is reached. The caller must hold no
+// shard's lock.
+func (g *Gateway) displaceFor(request *Request) {
 	displaced := 0
-	for lower := range newcomer.Priority {
-		for displaced < mostDisplaced && g.full(newcomer) && g.displaceOne(lower) {
+	for lower := range request.Priority {
+		for displaced < maxDisplaced && g.queuesFull(request) && g.displaceOne(lower) {
 			displaced++
 		}
 	}
 }
 
-// displaceOne refuses a waiting request of the priority; false: there is none.
-// The shards take turns.
+// displaceOne displaces one waiting request of the priority and reports whether
+// there was one. The shards are searched round robin.
 func (g *Gateway) displaceOne(priority int) bool {
-	first := g.nextDisplaced.Add(1)
+	first := g.nextDisplacementShard.Add(1)
 	for offset := range uint64(len(g.shards)) {
-		if g.room.requests[priority].Load() == 0 {
+		if g.queueUsage.requests[priority].Load() == 0 {
 			return false
 		}
 		shard := g.shards[(first+offset)%uint64(len(g.shards))]
@@ -79,25 +84,25 @@
 	return false
 }
 
-// displaceOne takes the request from the group with most waiting at the
-// priority, and there from the flow with most for its weight.
+// displaceOne displaces a request from the shard's group with the longest queue
+// at the priority, and there from the flow with the highest load.
 func (s *shard) displaceOne(priority int) bool {
-	turn := s.begin()
-	defer s.end(turn)
+	section := s.lock()
+	defer s.unlock(section)
 	if s.byPriority[priority] == 0 {
 		return false
 	}
-	longest := s.mostWaiting(priority)
-	victim := longest.mostOverShare(priority).last(priority)
-	capacity := longest.router.Capacity(longest.name)
+	queue := s.longestQueue(priority)
+	victim := queue.mostOverShare(priority).lateEntry(priority)
+	capacity := queue.router.Capacity(queue.name)
 	s.displace(victim, result.Displaced, "gave way to a request of higher priority for another model",
-		longest.estimate(victim, capacity, turn.now), turn)
+		queue.estimate(victim, capacity, section.now), section)
 	return true
 }
 
-// mostWaiting returns the group with most requests waiting at the priority; of
-// equal ones the first by key.
-func (s *shard) mostWaiting(priority int) *group {
+// longestQueue returns the group with the most requests waiting at the priority;
+// of equal ones the first by key.
+func (s *shard) longestQueue(priority int) *group {
 	var longest *group
 	for _, group := range s.groups {
 		more := longest == nil || group.byPriority[priority] > longest.byPriority[priority]
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -5,29 +5,31 @@
 	"sync/atomic"
 )
 
-// drainState counts the work that a planned stop waits for.
+// drainState counts the open work that a planned shutdown waits for.
 type drainState struct {
 	draining atomic.Bool
-	// open work items: requests without final answer, attempts, claims.
-	open atomic.Int64
+	// openWork is the number of requests without final answer, attempts that have
+	// not ended and claims without result.
+	openWork atomic.Int64
 
 	mutex   sync.Mutex
 	drained func()
 }
 
-// Drain refuses new requests from now on; what was accepted is finished.
-// Drained is called once, when nothing is open any more.
+// Drain makes the gateway refuse new requests; accepted requests are finished.
+// The callback drained is called once, when no work is open any more.
 func (g *Gateway) Drain(drained func()) {
 	g.drain.mutex.Lock()
 	g.drain.drained = drained
 	g.drain.mutex.Unlock()
 	g.drain.draining.Store(true)
-	g.close(0)
+	g.workFinished(0)
 }
 
-// close counts ended work items.
-func (g *Gateway) close(count int64) {
-	if g.drain.open.Add(-count) > 0 || !g.drain.draining.Load() {
+// workFinished subtracts finished work items, and calls the drained callback when
+// none is left.
+func (g *Gateway) workFinished(count int64) {
+	if g.drain.openWork.Add(-count) > 0 || !g.drain.draining.Load() {
 		return
 	}
 	g.drain.mutex.Lock()
--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -9,37 +9,40 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// phase is how far a request has come.
+// phase is the state of a request in its lifecycle.
 type phase uint8
 
 const (
-	// phaseWaiting: in a queue. The zero phase is that of a new request.
+	// phaseWaiting: in a queue. The zero phase is that of a request that was
+	// not admitted yet.
 	phaseWaiting phase = iota + 1
-	// phaseClaiming: a place is reserved and the key's claim is under way.
+	// phaseClaiming: an endpoint is reserved and the key is being claimed.
 	phaseClaiming
-	// phaseRunning: an attempt is at a back end.
+	// phaseRunning: an attempt was sent to a back end.
 	phaseRunning
-	// phaseBackingOff: between two attempts.
+	// phaseBackingOff: in the backoff between two attempts.
 	phaseBackingOff
-	// phaseFinal: the final answer is given.
+	// phaseFinal: the final answer was given.
 	phaseFinal
 )
 
-// entry is one request that the gateway is responsible for. All fields are
-// guarded by the shard's mutex.
+// entry is the state of one request. All fields are guarded by the shard's
+// mutex.
 type entry struct {
 	request   Request
 	responder Responder
 	shard     *shard
 	group     *group
 	flow      *flow
-	// table row at admission, zero for pool requests.
+	// row of the table at admission; zero for pool requests.
 	row   table.Row
 	phase phase
 
-	// refuseAt is the deadline less the margin.
+	// refuseAt is when the request is refused if it has no answer: its deadline
+	// minus the margin.
 	refuseAt time.Time
-	// index in the flow's heap, and neighbours in its list by acceptance.
+	// index in the flow's heap, and neighbours in the flow's list by time of
+	// acceptance.
 	index        int
 	older, newer *entry
 	expiry       timerItem
@@ -48,27 +51,32 @@
 	attempt      *attempt
 	attempts     int
 	dispatchedAt time.Time
-	// avoid is the server of the last failed attempt.
+	// avoid is the server of the last failed attempt; the router prefers others.
 	avoid outside.ServerID
-	// ran is the most that is known of all ended attempts.
-	ran  result.Ran
+	// ran is the maximum over all ended attempts: whether the request may have
+	// run.
+	ran result.Ran
+	// cold: the request waited for a replica to be loaded.
 	cold bool
 
 	stream stream
 	claim  claimState
 
-	outbox     []delivery
-	spare      []delivery
+	// outbox holds the responder's calls that are still to be made; spare is the
+	// buffer of the last batch, for reuse.
+	outbox []delivery
+	spare  []delivery
+	// delivering: a goroutine is making the responder's calls.
 	delivering bool
 }
 
-// claimState is about the key of a non-repeatable request.
+// claimState is the state of the claim on a non-repeatable request's key.
 type claimState struct {
 	needed bool
 	held   bool
-	// asked is when the claim was asked for.
-	asked time.Time
-	// attempt identifies the claim; it is the same over all dispatches.
+	// requestedAt is when the claim was last requested.
+	requestedAt time.Time
+	// attempt identifies the claim; it is the same for all dispatches.
 	attempt outside.AttemptID
 }
 
@@ -79,10 +87,10 @@
 // repeatable reports whether an attempt with unknown outcome may be repeated.
 func (e *entry) repeatable() bool { return !e.claim.needed }
 
-// isPool reports whether the request goes to a back end that is no engine.
+// isPool reports whether the request is for a back-end pool.
 func (e *entry) isPool() bool { return e.request.Pool != "" }
 
-// ranSoFar is what may be said about runs if the request is given up now.
+// ranSoFar returns whether the request may have run, for a refusal given now.
 func (e *entry) ranSoFar() result.Ran {
 	ran := e.ran
 	if e.attempt != nil {
@@ -94,7 +102,7 @@
 	return ran
 }
 
-// name is the row or pool, for logs and metrics.
+// name returns the name of the row or pool.
 func (e *entry) name() string {
 	if e.isPool() {
 		return e.request.Pool
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -10,10 +10,10 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// EventKind says what happened to a request.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// The kinds of event.
+// The kinds of Event.
 const (
 	EventAccepted EventKind = iota
 	EventDispatched
@@ -22,7 +22,7 @@
 	EventRefused
 )
 
-// Event is a decision about a request, for metrics and logs.
+// Event describes a decision about a request, for metrics and logs.
 type Event struct {
 	Kind    EventKind
 	Request string
@@ -35,24 +35,26 @@
 	Server   outside.ServerID
 	Slot     outside.SlotID
 	Revision table.Revision
-	// Reason is why an attempt is repeated.
+	// Reason for which the attempt failed; set if the request is retried.
 	Reason string
 	// Refusal of a refused request.
 	Refusal result.Refusal
-	// Elapsed since the request was accepted.
+	// Elapsed is the time since the request was accepted.
 	Elapsed time.Duration
 	// Cold: the request waited for a replica to be loaded.
 	Cold     bool
 	Replayed bool
 }
 
-// Metrics receives each event, without a lock of the gateway held.
+// Metrics receives each event. Observe is called without a lock of the gateway
+// held; the event is valid only during the call.
 type Metrics interface {
 	Observe(event *Event)
 }
 
-func (e *entry) event(turn *turn, kind EventKind) *Event {
-	turn.events = append(turn.events, Event{
+// event adds an event about the entry, to be reported when the shard is unlocked.
+func (e *entry) event(section *criticalSection, kind EventKind) *Event {
+	section.events = append(section.events, Event{
 		Kind:     kind,
 		Request:  e.request.ID,
 		Tenant:   e.request.Tenant,
@@ -60,27 +62,28 @@
 		Pool:     e.isPool(),
 		Priority: e.request.Priority,
 		Revision: e.shard.gateway.config.Table.Revision(),
-		Elapsed:  turn.now.Sub(e.request.Accepted),
+		Elapsed:  section.now.Sub(e.request.Accepted),
 		Cold:     e.cold,
 	})
-	return &turn.events[len(turn.events)-1]
+	return &section.events[len(section.events)-1]
 }
 
+// report passes an event to the metrics and writes its log line.
 func (g *Gateway) report(event *Event) {
 	if g.config.Metrics != nil {
 		g.config.Metrics.Observe(event)
 	}
 	switch event.Kind {
 	case EventAccepted:
-		g.line(g.config.Logger.Debug(), event).Msg("request accepted")
+		g.withFields(g.config.Logger.Debug(), event).Msg("request accepted")
 	case EventDispatched:
-		g.line(g.config.Logger.Debug(), event).Msg("request dispatched")
+		g.withFields(g.config.Logger.Debug(), event).Msg("request dispatched")
 	case EventRetried:
-		g.line(g.config.Logger.Info(), event).Msg("attempt failed, request goes back to the queue")
+		g.withFields(g.config.Logger.Info(), event).Msg("attempt failed, request goes back to the queue")
 	case EventServed:
-		g.line(g.config.Logger.Info(), event).Bool("cold", event.Cold).Bool("replayed", event.Replayed).Msg("request served")
+		g.withFields(g.config.Logger.Info(), event).Bool("cold", event.Cold).Bool("replayed", event.Replayed).Msg("request served")
 	case EventRefused:
-		g.line(g.config.Logger.Info(), event).
+		g.withFields(g.config.Logger.Info(), event).
 			Int("code", int(event.Refusal.Code)).
 			Str("ran", event.Refusal.Ran.String()).
 			Dur("retry_after", event.Refusal.RetryAfter).
@@ -88,9 +91,9 @@
 	}
 }
 
-// line adds the fields that all decision lines carry. A nil event, of a level
-// that is switched off, costs nothing.
-func (g *Gateway) line(log *zerolog.Event, event *Event) *zerolog.Event {
+// withFields adds the fields that all log lines about requests have. The zerolog
+// event is nil if its level is disabled; then nothing is formatted.
+func (g *Gateway) withFields(log *zerolog.Event, event *Event) *zerolog.Event {
 	if log == nil {
 		return nil
 	}
--- a/internal/gateway/failure.go
+++ b/internal/gateway/failure.go
@@ -21,16 +21,17 @@
 	reasonCancelled  = "cancelled"
 )
 
-// Backoff between the attempts of one request.
+// Backoff between the attempts of one request, doubling from the initial bound.
 const (
-	firstBackOff   = 20 * time.Millisecond
-	longestBackOff = time.Second
-	// refusalsFactor is how many times the attempts' limit a request may be
-	// turned away by endpoints that are gone, which costs them nothing.
-	refusalsFactor = 4
+	initialBackOff = 20 * time.Millisecond
+	maxBackOff     = time.Second
+	// removedEndpointFactor times Limits.Attempts is how many attempts a request
+	// may have if they fail because their endpoint was removed. Such attempts put
+	// no load on the server, so they are limited less strictly.
+	removedEndpointFactor = 4
 )
 
-// outcomeOf says what a failure means for the endpoint's health.
+// outcomeOf maps a failure to its effect on the endpoint's health.
 func outcomeOf(err *outside.AttemptError) router.Outcome {
 	switch err.Reason {
 	case reasonBusy:
@@ -41,7 +42,7 @@
 		return router.Unreachable
 	case reasonTimeout:
 		if err.Ran == result.RanNo {
-			// The server refused for want of time.
+			// The server refused the request because too little time was left.
 			return router.Neutral
 		}
 		return router.Unreachable
@@ -50,31 +51,32 @@
 	}
 }
 
-// failed decides what follows the failure of an attempt. The attempt is
-// settled, or stopped.
-func (s *shard) failed(a *attempt, ran result.Ran, reason string, turn *turn) {
+// attemptFailed retries or refuses the request after an attempt failed. The
+// attempt has ended or was cancelled.
+func (s *shard) attemptFailed(a *attempt, ran result.Ran, reason string, section *criticalSection) {
 	e := a.entry
 	if e.attempt != a || e.phase != phaseRunning {
-		s.failedLate(a, ran)
-		s.dispatch(e.group, turn)
+		s.attemptFailedLate(a, ran)
+		s.dispatch(e.group, section)
 		return
 	}
 	e.attempt = nil
 	e.ran = max(e.ran, ran)
-	e.avoid = a.place.Endpoint.Server
-	e.stream.early = nil
-	if refusal := s.verdict(e, ran, reason, turn.now); refusal != nil {
-		s.giveUp(e, *refusal, turn)
-		s.dispatch(e.group, turn)
+	e.avoid = a.reservation.Endpoint.Server
+	e.stream.outOfOrder = nil
+	if refusal := s.retryRefusal(e, ran, reason, section.now); refusal != nil {
+		s.abort(e, *refusal, section)
+		s.dispatch(e.group, section)
 		return
 	}
-	s.again(a, reason, turn)
-	s.dispatch(e.group, turn)
+	s.scheduleRetry(a, reason, section)
+	s.dispatch(e.group, section)
 }
 
-// failedLate handles the failure of an attempt that nobody waits for any more:
-// if it proves that a non-repeatable request never ran, its key is free again.
-func (s *shard) failedLate(a *attempt, ran result.Ran) {
+// attemptFailedLate handles the failure of an attempt that the request no longer
+// waits for: if it proves that a non-repeatable request never ran, its key is
+// released.
+func (s *shard) attemptFailedLate(a *attempt, ran result.Ran) {
 	e := a.entry
 	e.ran = max(e.ran, ran)
 	if e.phase == phaseFinal && e.attempt == a {
@@ -83,18 +85,18 @@
 	}
 }
 
-// verdict returns the final refusal after a failure; nil if the request may be
-// tried again.
-func (s *shard) verdict(e *entry, ran result.Ran, reason string, now time.Time) *result.Refusal {
+// retryRefusal returns the final refusal after a failed attempt; nil if the
+// request may be retried.
+func (s *shard) retryRefusal(e *entry, ran result.Ran, reason string, now time.Time) *result.Refusal {
 	if !e.repeatable() && ran != result.RanNo {
-		return e.unrepeatable(ran, reason)
+		return e.nonRepeatableRefusal(ran, reason)
 	}
 	limits := s.gateway.config.Limits
-	if gone(reason) && e.attempts < limits.Attempts*refusalsFactor {
+	if endpointRemoved(reason) && e.attempts < limits.Attempts*removedEndpointFactor {
 		return nil
 	}
 	if e.attempts >= limits.Attempts {
-		return s.exhausted(e, reason, now)
+		return s.attemptsExhausted(e, reason, now)
 	}
 	if !s.takeRetry(e.group) {
 		refusal := refusalf(result.RetryBudgetSpent, "the attempt failed (%s) and the budget for retries is spent", reason)
@@ -104,12 +106,13 @@
 	return nil
 }
 
-// gone reports whether the endpoint itself is no longer there.
-func gone(reason string) bool { return reason == reasonNotLoaded || reason == reasonLeaving }
+// endpointRemoved reports whether the reason means that the endpoint no longer
+// serves the model or its server is shutting down.
+func endpointRemoved(reason string) bool { return reason == reasonNotLoaded || reason == reasonLeaving }
 
-// unrepeatable is the final answer for a non-repeatable request whose attempt
-// may have run.
-func (e *entry) unrepeatable(ran result.Ran, reason string) *result.Refusal {
+// nonRepeatableRefusal returns the refusal of a non-repeatable request whose failed
+// attempt may have run.
+func (e *entry) nonRepeatableRefusal(ran result.Ran, reason string) *result.Refusal {
 	switch {
 	case ran == result.RanUnknown:
 		return refusalf(result.OutcomeUnknown, "the attempt ended without an answer (%s)", reason)
@@ -120,8 +123,8 @@
 	}
 }
 
-// exhausted is the final answer after the last attempt.
-func (s *shard) exhausted(e *entry, reason string, now time.Time) *result.Refusal {
+// attemptsExhausted returns the refusal after the last allowed attempt failed.
+func (s *shard) attemptsExhausted(e *entry, reason string, now time.Time) *result.Refusal {
 	code := result.BackEndFailed
 	switch {
 	case e.stream.next > 0:
@@ -140,38 +143,38 @@
 		return false
 	}
 	if !s.gateway.budget.take() {
-		g.budget.giveBack()
+		g.budget.refund()
 		return false
 	}
 	return true
 }
 
-// again brings a request back to the queue, after a jittered backoff unless
-// the endpoint is gone.
-func (s *shard) again(a *attempt, reason string, turn *turn) {
+// scheduleRetry schedules the request's return to the queue after a jittered
+// backoff, and reports an endpoint that was removed to the directory.
+func (s *shard) scheduleRetry(a *attempt, reason string, section *criticalSection) {
 	e := a.entry
-	event := e.event(turn, EventRetried)
-	a.note(event)
+	event := e.event(section, EventRetried)
+	a.annotate(event)
 	event.Reason = reason
 	s.counts.retried++
-	if gone(reason) {
-		turn.rejects = append(turn.rejects, a.rejection(reason == reasonLeaving))
+	if endpointRemoved(reason) {
+		section.rejects = append(section.rejects, a.rejection(reason == reasonLeaving))
 	}
 	e.phase = phaseBackingOff
 	e.backOff = timerItem{kind: timerBackOff, entry: e}
-	left := e.refuseAt.Sub(turn.now)
-	s.schedule(&e.backOff, turn.now.Add(min(s.backOff(e.attempts), left/2)))
+	left := e.refuseAt.Sub(section.now)
+	s.schedule(&e.backOff, section.now.Add(min(s.retryDelay(e.attempts), left/2)))
 }
 
-// backOff returns a random time up to a bound that doubles with each attempt.
-func (s *shard) backOff(attempts int) time.Duration {
-	bound := min(firstBackOff<<min(attempts-1, 10), longestBackOff)
+// retryDelay returns a random backoff up to a bound that doubles with each attempt.
+func (s *shard) retryDelay(attempts int) time.Duration {
+	bound := min(initialBackOff<<min(attempts-1, 10), maxBackOff)
 	return time.Duration(s.random.Int64N(int64(bound)) + 1)
 }
 
-// requeue puts a request back into the queue. A stream that has begun goes on
-// with the version it began with.
-func (s *shard) requeue(e *entry, turn *turn) {
+// requeue returns a request to the queue after its backoff. A stream that has
+// begun must continue with the version that it began with.
+func (s *shard) requeue(e *entry, section *criticalSection) {
 	if e.phase != phaseBackingOff {
 		return
 	}
@@ -179,5 +182,5 @@
 		e.flow = s.flowFor(e, e.stream.version)
 	}
 	s.enqueue(e)
-	s.dispatch(e.group, turn)
+	s.dispatch(e.group, section)
 }
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -32,20 +32,20 @@
 
 // fakeDirectory holds snapshots that tests set, and records calls.
 type fakeDirectory struct {
-	snapshots map[string]*directory.Snapshot
-	wanted    []string
-	rejected  []outside.ServerID
-	leaving   []outside.ServerID
-	onReject  func(model string)
+	snapshots    map[string]*directory.Snapshot
+	demanded     []string
+	invalidated  []outside.ServerID
+	leaving      []outside.ServerID
+	onInvalidate func(model string)
 }
 
 func (d *fakeDirectory) Snapshot(name string) *directory.Snapshot { return d.snapshots[name] }
-func (d *fakeDirectory) ReportDemand(row string)                  { d.wanted = append(d.wanted, row) }
+func (d *fakeDirectory) ReportDemand(row string)                  { d.demanded = append(d.demanded, row) }
 
 func (d *fakeDirectory) MarkLeaving(server outside.ServerID) { d.leaving = append(d.leaving, server) }
 
 func (d *fakeDirectory) Invalidate(model string, server outside.ServerID, _ outside.SlotID) {
-	d.rejected = append(d.rejected, server)
+	d.invalidated = append(d.invalidated, server)
 	old := d.snapshots[model]
 	kept := &directory.Snapshot{Group: model}
 	for _, endpoint := range old.Endpoints {
@@ -54,10 +54,10 @@
 		}
 	}
 	d.snapshots[model] = kept
-	d.onReject(model)
+	d.onInvalidate(model)
 }
 
-// set replaces a group's endpoints by servers with the batch.
+// set replaces a group's endpoints by one at each server, with the batch size.
 func (d *fakeDirectory) set(group string, batch int, servers ...string) {
 	snapshot := &directory.Snapshot{Group: group}
 	for _, server := range servers {
@@ -68,14 +68,14 @@
 	d.snapshots[group] = snapshot
 }
 
-// engineCall is one attempt that reached the fake engine.
+// engineCall is one attempt that the fake engine received.
 type engineCall struct {
 	request   outside.GenerateRequest
 	sink      outside.GenerateSink
 	cancelled bool
 }
 
-// chunks sends chunks of the request's stream.
+// chunks sends the chunks with the indexes from (inclusive) to (exclusive).
 func (c *engineCall) chunks(from, to int) {
 	for index := from; index < to; index++ {
 		c.sink.Chunk(outside.Chunk{Attempt: c.request.Attempt, Index: index, Text: strconv.Itoa(index), Tokens: 1})
@@ -90,7 +90,7 @@
 	c.sink.Failed(&outside.AttemptError{Attempt: c.request.Attempt, Ran: ran, Reason: reason})
 }
 
-// fakeEngines hands each attempt to serve, a virtual millisecond later.
+// fakeEngines passes each attempt to serve after one millisecond of virtual time.
 type fakeEngines struct {
 	outside.EngineService
 	loop  *simulation.Loop
@@ -105,7 +105,7 @@
 	return func() { call.cancelled = true }
 }
 
-// fakeBackEnds answers calls by serve, a virtual millisecond later.
+// fakeBackEnds passes each call to serve after one millisecond of virtual time.
 type fakeBackEnds struct {
 	loop  *simulation.Loop
 	calls []outside.BackEndRequest
@@ -121,15 +121,15 @@
 	done(outside.BackEndResponse{Attempt: request.Attempt, Status: 200, Body: []byte("seat 7")}, nil)
 }
 
-// fakeClaims keeps claims in one map.
+// fakeClaims is a claimer that keeps its claims in a map.
 type fakeClaims struct {
-	loop     *simulation.Loop
-	delay    time.Duration
-	down     bool
-	held     map[claims.Key]*fakeClaim
-	released int
-	// asked are the attempts for which a key was claimed.
-	asked []outside.AttemptID
+	loop        *simulation.Loop
+	delay       time.Duration
+	unavailable bool
+	held        map[claims.Key]*fakeClaim
+	released    int
+	// claimAttempts are the attempts of all Claim calls, in order.
+	claimAttempts []outside.AttemptID
 }
 
 type fakeClaim struct {
@@ -139,14 +139,14 @@
 }
 
 func (f *fakeClaims) Claim(key claims.Key, attempt outside.AttemptID, digest uint64, _ time.Time, done func(claims.Result)) {
-	f.asked = append(f.asked, attempt)
+	f.claimAttempts = append(f.claimAttempts, attempt)
 	f.loop.AfterFunc(f.delay, func() { done(f.decide(key, attempt, digest)) })
 }
 
 func (f *fakeClaims) decide(key claims.Key, attempt outside.AttemptID, digest uint64) claims.Result {
 	held := f.held[key]
 	switch {
-	case f.down:
+	case f.unavailable:
 		return claims.Result{Verdict: claims.Unavailable}
 	case held == nil:
 		f.held[key] = &fakeClaim{attempt: attempt, digest: digest}
@@ -171,26 +171,27 @@
 	}
 }
 
-// caller records what its responder was told.
+// caller is a responder that records its calls.
 type caller struct {
-	chunks   []outside.Chunk
-	answer   *Answer
-	refusal  *result.Refusal
-	finals   int
-	stale    int // chunks of an attempt that was replaced by another
-	finalAt  time.Time
-	clock    *simulation.Loop
-	finalled func()
-	chunked  func(chunk outside.Chunk)
+	chunks  []outside.Chunk
+	answer  *Answer
+	refusal *result.Refusal
+	finals  int
+	stale   int // chunks of an attempt that is not the request's latest
+	finalAt time.Time
+	clock   *simulation.Loop
+	onFinal func()
+	onChunk func(chunk outside.Chunk)
 }
 
 func (c *caller) Chunk(chunk outside.Chunk) {
 	if c.finals > 0 {
+		// A chunk after the final call: make the checks of finals fail.
 		c.finals += 100
 	}
 	c.chunks = append(c.chunks, chunk)
-	if c.chunked != nil {
-		c.chunked(chunk)
+	if c.onChunk != nil {
+		c.onChunk(chunk)
 	}
 }
 
@@ -207,8 +208,8 @@
 func (c *caller) final() {
 	c.finals++
 	c.finalAt = c.clock.Now()
-	if c.finalled != nil {
-		c.finalled()
+	if c.onFinal != nil {
+		c.onFinal()
 	}
 }
 
@@ -219,8 +220,8 @@
 	return c.refusal.Code
 }
 
-// bench is a gateway among fakes.
-type bench struct {
+// harness is a gateway whose dependencies are fakes, on virtual time.
+type harness struct {
 	loop      *simulation.Loop
 	table     *fakeTable
 	directory *fakeDirectory
@@ -237,9 +238,9 @@
 	testPool  = "eggrafi"
 )
 
-func newBench(seed uint64, limits Limits) *bench {
+func newHarness(seed uint64, limits Limits) *harness {
 	loop := simulation.NewLoop(seed)
-	b := &bench{
+	b := &harness{
 		loop: loop,
 		table: &fakeTable{revision: 1, rows: map[string]table.Row{
 			testModel: {Name: testModel, Kind: table.KindModel, Version: "1", Weight: 1, MaxReplicas: 2, TimeLimit: time.Minute, Repeatable: true},
@@ -262,16 +263,18 @@
 		Router:     router.New(router.Config{Clock: loop, Random: random(), Source: b.directory, Slack: 1}),
 		PoolRouter: router.New(router.Config{Clock: loop, Random: random(), Source: b.pools, Slack: 1}),
 	})
-	b.directory.onReject = b.gateway.EndpointsChanged
+	b.directory.onInvalidate = b.gateway.EndpointsChanged
 	return b
 }
 
-func (b *bench) warm(batch int, servers ...string) {
+// warm makes the test model ready at the servers.
+func (b *harness) warm(batch int, servers ...string) {
 	b.directory.set(testModel, batch, servers...)
 	b.gateway.EndpointsChanged(testModel)
 }
 
-func (b *bench) generation(limit time.Duration) Request {
+// generation returns a repeatable request for the test model.
+func (b *harness) generation(limit time.Duration) Request {
 	b.requests++
 	now := b.loop.Now()
 	return Request{
@@ -280,14 +283,15 @@
 	}
 }
 
-func (b *bench) poolRequest(limit time.Duration, key string) Request {
+// poolRequest returns a non-repeatable request for the test pool.
+func (b *harness) poolRequest(limit time.Duration, key string) Request {
 	request := b.generation(limit)
 	request.Model, request.Pool, request.Key, request.Repeatable = "", testPool, key, false
 	return request
 }
 
-// latest returns the newest attempt of a request.
-func (b *bench) latest(request string) outside.AttemptID {
+// latest returns the id of a request's latest generation attempt.
+func (b *harness) latest(request string) outside.AttemptID {
 	for index := len(b.engines.calls) - 1; index >= 0; index-- {
 		if b.engines.calls[index].request.RequestID == request {
 			return b.engines.calls[index].request.Attempt
@@ -296,9 +300,9 @@
 	return ""
 }
 
-func (b *bench) submit(request Request) (*caller, func()) {
+func (b *harness) submit(request Request) (*caller, func()) {
 	c := &caller{clock: b.loop}
-	c.chunked = func(chunk outside.Chunk) {
+	c.onChunk = func(chunk outside.Chunk) {
 		if chunk.Attempt != b.latest(request.ID) {
 			c.stale++
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -16,7 +16,8 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// nodeBurstFactor is how many pools' bursts of retries a node saves up.
+// nodeBurstFactor is the burst of the node's retry budget, as a multiple of the
+// burst of one group's budget.
 const nodeBurstFactor = 10
 
 // Gateway implements Service. Its requests are divided into shards by base
@@ -27,9 +28,10 @@
 	budget  retryBudget
 	counter atomic.Uint64
 
-	room room
-	// nextDisplaced is the shard that gives way next.
-	nextDisplaced atomic.Uint64
+	queueUsage queueUsage
+	// nextDisplacementShard counts displacements; modulo the number of shards it
+	// is the shard that is searched first for a request to displace.
+	nextDisplacementShard atomic.Uint64
 
 	drain drainState
 	// revision of the table last checked against the queues.
@@ -45,7 +47,7 @@
 	groups map[string]*group
 	// byPriority counts the waiting requests.
 	byPriority [priorities]int
-	// active rows have traffic of the last seconds.
+	// active are the rows with waiting, running or recent requests (activeWindow).
 	active   map[*rowDemand]bool
 	counts   counts
 	timers   timerHeap
@@ -53,9 +55,9 @@
 	armedFor time.Time
 }
 
-// New returns a gateway. The caller subscribes EndpointsChanged and
-// PoolChanged to the directories, makes the gateway the directory's demand
-// source and calls Tick.
+// New returns a gateway. The caller must subscribe EndpointsChanged and
+// PoolChanged to the directories, register the gateway as the directory's demand
+// source, and call Tick about once a second.
 func New(config Config) *Gateway {
 	config.Limits = config.Limits.withDefaults()
 	gateway := &Gateway{
@@ -80,27 +82,27 @@
 
 // Submit implements Service.
 func (g *Gateway) Submit(request Request, responder Responder) func() {
-	g.drain.open.Add(1)
+	g.drain.openWork.Add(1)
 	request.Priority = min(max(request.Priority, 0), priorities-1)
 	entry := &entry{request: request, responder: responder}
 	key, refusal := g.resolve(entry)
 	entry.shard = g.shardOf(key)
-	turn := entry.shard.begin()
+	section := entry.shard.lock()
 	entry.shard.counts.submitted++
 	if refusal != nil {
-		entry.shard.refuse(entry, *refusal, turn)
-	} else if entry.shard.admit(entry, key, turn) == roomNeeded {
-		entry.shard.end(turn)
-		g.makeRoom(&entry.request)
-		turn = entry.shard.begin()
-		entry.shard.decide(entry, turn, false)
+		entry.shard.refuse(entry, *refusal, section)
+	} else if entry.shard.admit(entry, key, section) == displacementNeeded {
+		entry.shard.unlock(section)
+		g.displaceFor(&entry.request)
+		section = entry.shard.lock()
+		entry.shard.decide(entry, section, false)
 	}
-	entry.shard.end(turn)
+	entry.shard.unlock(section)
 	return entry.cancel
 }
 
-// resolve finds the row and base model, or the pool, of a request. The key
-// names the group whose queue the request belongs to.
+// resolve looks up the row and base model, or the pool, of a request. The key
+// identifies the group whose queue the request belongs to.
 func (g *Gateway) resolve(entry *entry) (key string, refusal *result.Refusal) {
 	if entry.isPool() {
 		return poolKey(entry.request.Pool), g.resolvePool(entry)
@@ -122,8 +124,8 @@
 	return row.Name
 }
 
-// routingOf is what the router must know of a request for the row. The version
-// is that of the base model's weights.
+// routingOf returns the routing constraints of a request for the row. The
+// version is that of the base model's weights.
 func (g *Gateway) routingOf(row table.Row, prefix []byte) router.Request {
 	routing := router.Request{Version: row.Version, PrefixHash: router.HashPrefix(prefix)}
 	if row.Kind == table.KindAdapter {
@@ -134,7 +136,8 @@
 	return routing
 }
 
-// poolKey can't be the name of a row.
+// poolKey returns the group key of a pool. Names of rows contain no slash, so
+// it can't collide with one.
 func poolKey(pool string) string { return "pool/" + pool }
 
 func (g *Gateway) resolvePool(entry *entry) *result.Refusal {
@@ -152,7 +155,7 @@
 	return nil
 }
 
-// resolveRow returns the row if the tenant may call it now.
+// resolveRow returns the row, or a refusal if the tenant may not call it now.
 func (g *Gateway) resolveRow(name, tenant string) (table.Row, *result.Refusal) {
 	row, known := g.config.Table.Row(name)
 	if !known || (row.Tenant != "" && row.Tenant != tenant) {
@@ -176,27 +179,31 @@
 	return &refusal
 }
 
-// newAttempt returns an id that is never used again.
+// newAttempt returns an attempt id that is unique across nodes and
+// incarnations, since Node is.
 func (g *Gateway) newAttempt() outside.AttemptID {
 	return outside.AttemptID(g.config.Node + "/" + strconv.FormatUint(g.counter.Add(1), 36))
 }
 
-// EndpointsChanged is called after the endpoints of a base model changed.
-func (g *Gateway) EndpointsChanged(model string) { g.changed(model) }
+// EndpointsChanged dispatches waiting requests after the endpoints of a base
+// model changed.
+func (g *Gateway) EndpointsChanged(model string) { g.groupChanged(model) }
 
-// PoolChanged is called after the servers of a pool changed.
-func (g *Gateway) PoolChanged(pool string) { g.changed(poolKey(pool)) }
+// PoolChanged dispatches waiting requests after the servers of a pool changed.
+func (g *Gateway) PoolChanged(pool string) { g.groupChanged(poolKey(pool)) }
 
-func (g *Gateway) changed(key string) {
+func (g *Gateway) groupChanged(key string) {
 	shard := g.shardOf(key)
-	turn := shard.begin()
+	section := shard.lock()
 	if group := shard.groups[key]; group != nil {
-		shard.refuseUnreachable(group, turn)
-		shard.dispatch(group, turn)
+		shard.refuseUnreachableDeadlines(group, section)
+		shard.dispatch(group, section)
 	}
-	shard.end(turn)
+	shard.unlock(section)
 }
 
+// reject reports an endpoint that must not get new requests to the directory that
+// lists it.
 func (g *Gateway) reject(rejected rejection) {
 	switch {
 	case rejected.pool && rejected.leaving:
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -17,8 +17,8 @@
 }
 
 var _ = Describe("Gateway", func() {
-	var b *bench
-	BeforeEach(func() { b = newBench(1, Limits{}) })
+	var b *harness
+	BeforeEach(func() { b = newHarness(1, Limits{}) })
 
 	It("streams a generation of a warm model", func() {
 		b.warm(4, "s1")
@@ -30,11 +30,11 @@
 		Expect(b.gateway.Stats().Open).To(BeZero())
 	})
 
-	It("keeps a request for a cold model, asks for an endpoint and serves it", func() {
+	It("queues a request for a cold model, reports demand and serves it once an endpoint is ready", func() {
 		c, _ := b.submit(b.generation(20 * time.Second))
 		b.loop.RunFor(10 * time.Second)
 		Expect(c.finals).To(BeZero())
-		Expect(b.directory.wanted).To(ContainElement(testModel))
+		Expect(b.directory.demanded).To(ContainElement(testModel))
 		demands := b.gateway.Demands(b.loop.Now(), false)
 		Expect(demands).To(HaveLen(1))
 		Expect(demands[0].Waiting).To(Equal(1))
@@ -46,7 +46,7 @@
 		Expect(b.gateway.Demands(b.loop.Now(), false)).To(BeEmpty())
 	})
 
-	It("queues here and not at the engine", func() {
+	It("queues requests at the gateway and not at the engine", func() {
 		b.warm(2, "s1")
 		b.engines.serve = func(*engineCall) {}
 		for range 5 {
@@ -57,7 +57,7 @@
 		Expect(b.gateway.Stats().Waiting).To(BeEquivalentTo(3))
 	})
 
-	It("serves higher priority first", func() {
+	It("serves requests of higher priority first", func() {
 		b.warm(1, "s1")
 		var order []int
 		b.engines.serve = func(call *engineCall) {
@@ -73,7 +73,7 @@
 		Expect(order).To(Equal([]int{5, 9, 3, 1}))
 	})
 
-	It("serves higher priority first across rows", func() {
+	It("serves requests of higher priority first across rows", func() {
 		b.directory.set(testModel, 1, "s1")
 		b.directory.snapshots[testModel].Endpoints[0].Adapters = []string{"tone"}
 		var order []string
@@ -93,7 +93,7 @@
 		Expect(order).To(Equal([]string{"", "tone", "tone", "tone", "", ""}))
 	})
 
-	It("puts reordered chunks of an attempt in order", func() {
+	It("relays reordered chunks of an attempt in order", func() {
 		b.warm(1, "s1")
 		b.engines.serve = func(call *engineCall) {
 			for _, index := range []int{2, 0, 3, 1} {
@@ -159,14 +159,14 @@
 		c, _ := b.submit(b.generation(5 * time.Second))
 		b.loop.RunFor(time.Second)
 		Expect(c.finals).To(BeZero())
-		Expect(b.directory.wanted).NotTo(BeEmpty())
+		Expect(b.directory.demanded).NotTo(BeEmpty())
 		b.warm(4, "s2")
 		b.loop.RunFor(time.Second)
 		Expect(c.answer).NotTo(BeNil())
 		Expect(c.chunks).To(HaveLen(3))
 	})
 
-	It("takes no stream that ends short for complete", func() {
+	It("does not treat a stream that ends early as complete", func() {
 		b.warm(4, "s1")
 		b.engines.serve = func(call *engineCall) {
 			call.chunks(call.request.ResumeFrom, 1)
@@ -203,13 +203,13 @@
 		}
 	})
 
-	It("waits again when the endpoint turns out not to be loaded", func() {
+	It("requeues a request when its endpoint turns out not to be loaded", func() {
 		b.warm(4, "s1")
 		serve := b.engines.serve
 		b.engines.serve = func(call *engineCall) { call.fail(result.RanNo, "not_loaded") }
 		c, _ := b.submit(b.generation(10 * time.Second))
 		b.loop.RunFor(3 * time.Second)
-		Expect(b.directory.rejected).To(Equal([]outside.ServerID{"s1"}))
+		Expect(b.directory.invalidated).To(Equal([]outside.ServerID{"s1"}))
 		Expect(b.engines.calls).To(HaveLen(1))
 		b.engines.serve = serve
 		b.warm(4, "s2")
@@ -217,7 +217,7 @@
 		Expect(c.answer).NotTo(BeNil())
 	})
 
-	It("finishes what it accepted before it is drained", func() {
+	It("finishes accepted requests before it reports that it is drained", func() {
 		b.warm(1, "s1")
 		running, _ := b.submit(b.generation(time.Second))
 		waiting, _ := b.submit(b.generation(time.Second))
@@ -232,7 +232,7 @@
 		Expect(drained).To(Equal(1))
 	})
 
-	It("cancels the work of a caller that is gone", func() {
+	It("cancels the attempt of a caller that disconnected", func() {
 		b.warm(1, "s1")
 		b.engines.serve = func(*engineCall) {}
 		c, cancel := b.submit(b.generation(time.Second))
@@ -247,7 +247,7 @@
 		Expect(b.gateway.Stats().Open).To(BeZero())
 	})
 
-	It("refuses what waits for a row that was disabled", func() {
+	It("refuses the waiting requests of a row that was disabled", func() {
 		c, _ := b.submit(b.generation(time.Minute))
 		row := b.table.rows[testModel]
 		row.MaxReplicas = 0
@@ -258,9 +258,9 @@
 	})
 })
 
-var _ = DescribeTable("refusals at once",
-	func(change func(b *bench, request *Request), code result.Code) {
-		b := newBench(2, Limits{})
+var _ = DescribeTable("immediate refusals",
+	func(change func(b *harness, request *Request), code result.Code) {
+		b := newHarness(2, Limits{})
 		b.warm(4, "s1")
 		request := b.generation(time.Second)
 		change(b, &request)
@@ -270,31 +270,31 @@
 		Expect(c.finals).To(Equal(1))
 		Expect(b.engines.calls).To(BeEmpty())
 	},
-	Entry("unknown model", func(_ *bench, r *Request) { r.Model = "none" }, result.UnknownModel),
-	Entry("foreign tenant", func(b *bench, _ *Request) {
+	Entry("unknown model", func(_ *harness, r *Request) { r.Model = "none" }, result.UnknownModel),
+	Entry("row of another tenant", func(b *harness, _ *Request) {
 		row := b.table.rows[testModel]
 		row.Tenant = "beta"
 		b.table.rows[testModel] = row
 	}, result.UnknownModel),
-	Entry("disabled row", func(b *bench, _ *Request) {
+	Entry("disabled row", func(b *harness, _ *Request) {
 		row := b.table.rows[testModel]
 		row.MaxReplicas = 0
 		b.table.rows[testModel] = row
 	}, result.ModelDisabled),
-	Entry("adapter of a disabled base", func(b *bench, r *Request) {
+	Entry("adapter of a disabled base", func(b *harness, r *Request) {
 		row := b.table.rows[testModel]
 		row.MaxReplicas = 0
 		b.table.rows[testModel] = row
 		r.Model = "tone"
 	}, result.ModelDisabled),
-	Entry("no key", func(_ *bench, r *Request) { r.Repeatable = false }, result.KeyRequired),
-	Entry("unknown pool", func(_ *bench, r *Request) { r.Pool = "none" }, result.UnknownPool),
-	Entry("deadline passed", func(b *bench, r *Request) { r.Deadline = b.loop.Now() }, result.DeadlinePassed),
-	Entry("no cell can load the model", func(b *bench, _ *Request) {
+	Entry("no key", func(_ *harness, r *Request) { r.Repeatable = false }, result.KeyRequired),
+	Entry("unknown pool", func(_ *harness, r *Request) { r.Pool = "none" }, result.UnknownPool),
+	Entry("deadline passed", func(b *harness, r *Request) { r.Deadline = b.loop.Now() }, result.DeadlinePassed),
+	Entry("no cell can load the model", func(b *harness, _ *Request) {
 		b.directory.set(testModel, 4)
 		b.directory.snapshots[testModel].Refused = "no_memory"
 	}, result.NoBackEnd),
-	Entry("replica ready after the deadline", func(b *bench, _ *Request) {
+	Entry("replica ready after the deadline", func(b *harness, _ *Request) {
 		b.directory.set(testModel, 4)
 		b.directory.snapshots[testModel].ReadyAt = b.loop.Now().Add(time.Minute)
 	}, result.DeadlineUnreachable),
--- a/internal/gateway/groups.go
+++ b/internal/gateway/groups.go
@@ -2,17 +2,17 @@
 
 import "github.com/hatchplank/hatchplank/internal/directory"
 
-// poolWeight is the weight of each tenant at a back-end pool.
+// poolWeight is the fair-share weight of each tenant at a back-end pool.
 const poolWeight = 1
 
-// groupFor returns the group with the key and makes it if needed.
+// groupFor returns the group with the key, and creates it if needed.
 func (s *shard) groupFor(e *entry, key string) *group {
-	known := s.groups[key]
-	if known != nil {
-		return known
+	g := s.groups[key]
+	if g != nil {
+		return g
 	}
 	limits := s.gateway.config.Limits
-	known = &group{
+	g = &group{
 		key:    key,
 		name:   key,
 		router: s.gateway.config.Router,
@@ -21,76 +21,79 @@
 		rows:   map[string]*rowDemand{},
 	}
 	if e.isPool() {
-		known.name = e.request.Pool
-		known.router = s.gateway.config.PoolRouter
+		g.name = e.request.Pool
+		g.router = s.gateway.config.PoolRouter
 	}
-	known.wake = timerItem{kind: timerWake, group: known}
-	s.groups[key] = known
-	return known
+	g.dispatchTimer = timerItem{kind: timerDispatch, group: g}
+	s.groups[key] = g
+	return g
 }
 
-// flowFor returns the flow of the entry's row and tenant. Version is set if the
-// entry must be served by it.
+// flowFor returns the flow of the entry's row and tenant, and creates it if
+// needed. Version is set if the entry must be served by that version.
 func (s *shard) flowFor(e *entry, version string) *flow {
 	key := flowKey{row: e.name(), tenant: e.request.Tenant, version: version}
-	known := e.group.byKey[key]
-	if known == nil {
-		known = &flow{key: key, demand: s.demandFor(e)}
-		e.group.byKey[key] = known
-		e.group.flows = append(e.group.flows, known)
-		known.demand.flows = append(known.demand.flows, known)
+	f := e.group.byKey[key]
+	if f == nil {
+		f = &flow{key: key, demand: s.demandFor(e)}
+		e.group.byKey[key] = f
+		e.group.flows = append(e.group.flows, f)
+		f.demand.flows = append(f.demand.flows, f)
 	}
-	known.weight = poolWeight
+	f.weight = poolWeight
 	if !e.isPool() {
-		known.weight = float64(max(e.row.Weight, 1))
+		f.weight = float64(max(e.row.Weight, 1))
 	}
-	return known
+	return f
 }
 
+// demandFor returns the demand of the entry's row, and creates it if needed.
 func (s *shard) demandFor(e *entry) *rowDemand {
 	name := e.name()
-	known := e.group.rows[name]
-	if known == nil {
-		known = &rowDemand{demand: directory.Demand{Row: name}, pool: e.isPool()}
-		e.group.rows[name] = known
+	d := e.group.rows[name]
+	if d == nil {
+		d = &rowDemand{demand: directory.Demand{Row: name}, pool: e.isPool()}
+		e.group.rows[name] = d
 	}
-	return known
+	return d
 }
 
-// load is the flow's part of the queue for its weight, with some entries more.
+// load returns the flow's number of waiting entries, with some more, divided by
+// its weight.
 func (f *flow) load(more int) float64 { return float64(f.waiting+more) / f.weight }
 
-// last returns an entry of a priority that has one of the late deadlines.
-func (f *flow) last(priority int) *entry {
+// lateEntry returns the last leaf of the priority's heap: an entry with one of
+// the later deadlines, though not always the latest.
+func (f *flow) lateEntry(priority int) *entry {
 	entries := f.heaps[priority]
 	return entries[len(entries)-1]
 }
 
-// lowerThan returns an entry of the lowest priority below the given one, from
-// the flow with most waiting for its weight; nil if there is none.
-func (g *group) lowerThan(priority int) *entry {
+// displacementCandidate returns an entry of the lowest waiting priority below the
+// given one, from the flow with the highest load; nil if there is none.
+func (g *group) displacementCandidate(priority int) *entry {
 	for lower := range priority {
 		if g.byPriority[lower] == 0 {
 			continue
 		}
-		return g.mostOverShare(lower).last(lower)
+		return g.mostOverShare(lower).lateEntry(lower)
 	}
 	return nil
 }
 
-// mostOverShare returns, of the flows with waiting entries of a priority, that
-// with most waiting for its weight; nil if there is none.
+// mostOverShare returns the flow with the highest load among those with waiting
+// entries of a priority; nil if there is none.
 func (g *group) mostOverShare(priority int) *flow {
-	var most *flow
+	var heaviest *flow
 	for _, flow := range g.flows {
 		if len(flow.heaps[priority]) == 0 {
 			continue
 		}
-		if most == nil || flow.load(0) > most.load(0) {
-			most = flow
+		if heaviest == nil || flow.load(0) > heaviest.load(0) {
+			heaviest = flow
 		}
 	}
-	return most
+	return heaviest
 }
 
 func (g *group) occupiedFlows() int {
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -11,17 +11,17 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// overload drives one engine with a batch of 10 and service times around one
-// second, a capacity of 10 requests a second, by Poisson arrivals.
+// overload submits Poisson arrivals to one engine with a batch size of 10 and a
+// mean service time of one second, so a capacity of 10 requests per second.
 type overload struct {
-	*bench
+	*harness
 	served map[string]int
 	codes  map[result.Code]int
 	total  int
 }
 
 func newOverload(seed uint64) *overload {
-	o := &overload{bench: newBench(seed, Limits{QueueLength: 200}), served: map[string]int{}, codes: map[result.Code]int{}}
+	o := &overload{harness: newHarness(seed, Limits{QueueLength: 200}), served: map[string]int{}, codes: map[result.Code]int{}}
 	random := o.loop.Fork()
 	o.engines.serve = func(call *engineCall) {
 		duration := time.Duration((0.3 + 0.7*random.ExpFloat64()) * float64(time.Second))
@@ -37,7 +37,7 @@
 	return o
 }
 
-// arrive submits requests at a rate per second until the end.
+// arrive submits requests at a mean rate per second until the end.
 func (o *overload) arrive(rate float64, end time.Time, make func() Request) {
 	random := o.loop.Fork()
 	var next func()
@@ -48,7 +48,7 @@
 		o.total++
 		request := make()
 		c := &caller{clock: o.loop}
-		c.finalled = func() {
+		c.onFinal = func() {
 			o.codes[c.code()]++
 			if c.answer != nil {
 				o.served[request.Model]++
@@ -112,7 +112,7 @@
 		Entry("1 to 10, another seed", uint64(9), 10),
 	)
 
-	It("serves the high priority in full at three times the capacity", func() {
+	It("serves the requests of high priority at three times the capacity", func() {
 		o := newOverload(9)
 		end := o.loop.Now().Add(overloadSpan)
 		high, highServed := 0, 0
@@ -126,7 +126,7 @@
 			request := o.generation(5 * time.Second)
 			request.Priority = 9
 			c := &caller{clock: o.loop}
-			c.finalled = func() {
+			c.onFinal = func() {
 				if c.answer != nil {
 					highServed++
 				}
@@ -140,7 +140,7 @@
 		Expect(float64(highServed)).To(BeNumerically(">", 0.97*float64(high)))
 	})
 
-	It("serves the high priority of one model while another fills the node", func() {
+	It("serves the requests of high priority for one model while requests for another fill the node's queues", func() {
 		o := newOverload(9)
 		o.gateway.config.Limits.Waiting = 50
 		o.table.rows["second"] = table.Row{
@@ -150,7 +150,7 @@
 		end := o.loop.Now().Add(overloadSpan)
 		o.arrive(30, end, func() Request { return o.generation(time.Minute) })
 		high := 0
-		// Arrivals near the capacity must wait now and then.
+		// The rate is close to the capacity, so that some requests have to wait.
 		o.arrive(9, end, func() Request {
 			high++
 			request := o.generation(time.Minute)
@@ -162,8 +162,8 @@
 		Expect(o.served["second"]).To(Equal(high))
 	})
 
-	It("does not multiply a failure by retries", func() {
-		b := newBench(10, Limits{})
+	It("does not amplify a failure by retries", func() {
+		b := newHarness(10, Limits{})
 		random := b.loop.Fork()
 		b.engines.serve = func(call *engineCall) {
 			if random.Float64() < 0.5 {
@@ -187,7 +187,7 @@
 
 var _ = DescribeTable("a full queue",
 	func(change func(r *Request), code, displaced result.Code) {
-		b := newBench(11, Limits{QueueLength: 2})
+		b := newHarness(11, Limits{QueueLength: 2})
 		b.table.rows["other"] = table.Row{Name: "other", Kind: table.KindAdapter, Base: testModel, Weight: 1, MaxReplicas: 1, Repeatable: true}
 		first, _ := b.submit(b.generation(time.Minute))
 		second, _ := b.submit(b.generation(2 * time.Minute))
@@ -199,16 +199,16 @@
 		Expect(second.code()).To(Equal(displaced))
 		Expect(b.gateway.Stats().Waiting).To(BeEquivalentTo(2))
 	},
-	Entry("of the same flow refuses", keep, result.QueueFull, result.OK),
-	Entry("lets lower priority give way", func(r *Request) { r.Priority = 6 }, result.OK, result.Displaced),
-	Entry("refuses lower priority", func(r *Request) { r.Priority = 4 }, result.QueueFull, result.OK),
-	Entry("lets a tenant above its share give way", func(r *Request) { r.Model = "other" }, result.OK, result.OverShare),
+	Entry("refuses a request of the same flow", unchanged, result.QueueFull, result.OK),
+	Entry("displaces a request of lower priority", func(r *Request) { r.Priority = 6 }, result.OK, result.Displaced),
+	Entry("refuses a request of lower priority", func(r *Request) { r.Priority = 4 }, result.QueueFull, result.OK),
+	Entry("displaces a request of a flow above its share", func(r *Request) { r.Model = "other" }, result.OK, result.OverShare),
 )
 
-// floodedNode has one model's queue filled up to the node's bound, and a second
-// model on a server of its own.
-func floodedNode(limits Limits) *bench {
-	b := newBench(12, limits)
+// fullNode returns a harness whose node has queued as many requests for the test
+// model as the limits allow, with a row for a second model that has no server.
+func fullNode(limits Limits) *harness {
+	b := newHarness(12, limits)
 	b.engines.serve = func(*engineCall) {}
 	row := b.table.rows[testModel]
 	row.Name = "second"
@@ -221,28 +221,28 @@
 
 var _ = DescribeTable("a full node",
 	func(limits Limits, change func(r *Request), code result.Code, displaced int) {
-		b := floodedNode(limits)
+		b := fullNode(limits)
 		request := b.generation(time.Minute)
 		request.Model = "second"
 		change(&request)
-		newcomer, _ := b.submit(request)
-		Expect(newcomer.code()).To(Equal(code))
+		submitted, _ := b.submit(request)
+		Expect(submitted.code()).To(Equal(code))
 		Expect(b.gateway.Stats().Refused[result.Displaced]).To(BeEquivalentTo(displaced))
 		Expect(b.gateway.Stats().Waiting).To(BeEquivalentTo(3 - displaced + map[result.Code]int{result.OK: 1}[code]))
 	},
-	Entry("lets lower priority of another model give way", Limits{Waiting: 3}, func(r *Request) { r.Priority = 6 }, result.OK, 1),
-	Entry("refuses the same priority", Limits{Waiting: 3}, keep, result.QueueFull, 0),
-	Entry("refuses lower priority", Limits{Waiting: 3}, func(r *Request) { r.Priority = 4 }, result.QueueFull, 0),
-	Entry("displaces nothing for a request that is refused anyhow", Limits{Waiting: 3},
+	Entry("displaces a request of lower priority for another model", Limits{Waiting: 3}, func(r *Request) { r.Priority = 6 }, result.OK, 1),
+	Entry("refuses a request of the same priority", Limits{Waiting: 3}, unchanged, result.QueueFull, 0),
+	Entry("refuses a request of lower priority", Limits{Waiting: 3}, func(r *Request) { r.Priority = 4 }, result.QueueFull, 0),
+	Entry("displaces nothing for a request that is refused for another reason", Limits{Waiting: 3},
 		func(r *Request) { r.Priority, r.Deadline = 9, r.Accepted }, result.DeadlinePassed, 0),
-	Entry("makes room for its bytes", Limits{WaitingBytes: 6},
+	Entry("displaces as many requests as the body needs", Limits{WaitingBytes: 6},
 		func(r *Request) { r.Priority, r.Body = 9, []byte("1234") }, result.OK, 2),
-	Entry("displaces nothing for a body that would not fit all the same", Limits{WaitingBytes: 6},
+	Entry("displaces nothing for a body that would not fit even then", Limits{WaitingBytes: 6},
 		func(r *Request) { r.Priority, r.Body = 9, []byte("1234567") }, result.QueueFull, 0),
 )
 
-var _ = It("a full node serves what need not wait", func() {
-	b := floodedNode(Limits{Waiting: 3})
+var _ = It("a full node serves a request that need not wait", func() {
+	b := fullNode(Limits{Waiting: 3})
 	b.directory.set("second", 1, "s2")
 	request := b.generation(time.Minute)
 	request.Model = "second"
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -8,37 +8,39 @@
 	"github.com/hatchplank/hatchplank/internal/router"
 )
 
-// responded is the done callback of a call to a back end.
+// responded is the completion callback of a call to a back end.
 func (a *attempt) responded(response outside.BackEndResponse, err error) {
 	s := a.entry.shard
-	turn := s.begin()
+	section := s.lock()
 	if !a.ended {
-		s.backEndEnded(a, response, err, turn)
+		s.backEndEnded(a, response, err, section)
 	}
-	s.end(turn)
+	s.unlock(section)
 }
 
-func (s *shard) backEndEnded(a *attempt, response outside.BackEndResponse, err error, turn *turn) {
+// backEndEnded handles the response or failure of a call to a back end. A response
+// is recorded even if the request was refused meanwhile.
+func (s *shard) backEndEnded(a *attempt, response outside.BackEndResponse, err error, section *criticalSection) {
 	failure := a.failureOf(response, err)
 	if failure != nil {
-		s.settle(a, outcomeOf(failure), &failure.Load, turn)
-		s.failed(a, failure.Ran, failure.Reason, turn)
+		s.finishAttempt(a, outcomeOf(failure), &failure.Load, section)
+		s.attemptFailed(a, failure.Ran, failure.Reason, section)
 		return
 	}
 	e := a.entry
 	current := a.current()
-	s.settle(a, router.Succeeded, &response.Load, turn)
+	s.finishAttempt(a, router.Succeeded, &response.Load, section)
 	if e.claim.held {
 		s.recordResponse(e, response)
 	}
 	if current {
-		s.finish(e, Answer{Response: response, Server: a.place.Endpoint.Server}, turn)
+		s.finish(e, Answer{Response: response, Server: a.reservation.Endpoint.Server}, section)
 	}
-	s.dispatch(e.group, turn)
+	s.dispatch(e.group, section)
 }
 
-// failureOf returns the failure of a call; nil if it was answered. A response
-// to another attempt is no answer, and says nothing about this one.
+// failureOf returns the failure of a call; nil if it was answered. A response to
+// another attempt counts as a failure that leaves open whether this one ran.
 func (a *attempt) failureOf(response outside.BackEndResponse, err error) *outside.AttemptError {
 	var failure *outside.AttemptError
 	switch {
--- a/internal/gateway/property_test.go
+++ b/internal/gateway/property_test.go
@@ -11,15 +11,15 @@
 	"github.com/hatchplank/hatchplank/internal/result"
 )
 
-// script is what one attempt does at its back end.
+// script describes how the engine handles one attempt.
 type script struct {
-	chunks            int
-	order             int // 0: in order, 1: repeated, 2: reversed, 3: one missing
-	end               int // 0: complete, 1: short, 2: fails, 3: never
-	ran               result.Ran
-	reason            string
-	delay             time.Duration
-	lateCopy, foreign bool
+	chunks                 int
+	order                  int // 0: in order, 1: sent twice, 2: reversed, 3: first one missing
+	end                    int // 0: complete, 1: one chunk short, 2: fails, 3: never sent
+	ran                    result.Ran
+	reason                 string
+	delay                  time.Duration
+	lateCopy, otherAttempt bool
 }
 
 const streamLength = 5
@@ -27,31 +27,32 @@
 func drawScript(t *rapid.T, index int) script {
 	name := strconv.Itoa(index)
 	return script{
-		chunks:   rapid.IntRange(0, streamLength).Draw(t, "chunks"+name),
-		order:    rapid.IntRange(0, 3).Draw(t, "order"+name),
-		end:      rapid.IntRange(0, 3).Draw(t, "end"+name),
-		ran:      result.Ran(rapid.IntRange(0, 2).Draw(t, "ran"+name)),
-		reason:   rapid.SampledFrom([]string{"refused", "not_loaded", "busy", "leaving", "connection", "failed", "truncated"}).Draw(t, "reason"+name),
-		delay:    time.Duration(rapid.IntRange(0, 400).Draw(t, "delay"+name)) * time.Millisecond,
-		lateCopy: rapid.Bool().Draw(t, "late"+name),
-		foreign:  rapid.Bool().Draw(t, "foreign"+name),
+		chunks:       rapid.IntRange(0, streamLength).Draw(t, "chunks"+name),
+		order:        rapid.IntRange(0, 3).Draw(t, "order"+name),
+		end:          rapid.IntRange(0, 3).Draw(t, "end"+name),
+		ran:          result.Ran(rapid.IntRange(0, 2).Draw(t, "ran"+name)),
+		reason:       rapid.SampledFrom([]string{"refused", "not_loaded", "busy", "leaving", "connection", "failed", "truncated"}).Draw(t, "reason"+name),
+		delay:        time.Duration(rapid.IntRange(0, 400).Draw(t, "delay"+name)) * time.Millisecond,
+		lateCopy:     rapid.Bool().Draw(t, "late"+name),
+		otherAttempt: rapid.Bool().Draw(t, "foreign"+name),
 	}
 }
 
-// refuses reports whether the attempt is turned away without being run.
+// refuses reports whether the attempt is refused without being run.
 func (s script) refuses() bool { return s.end == 2 && s.ran == result.RanNo }
 
-// proof is what a late failure may honestly say: not run only if that is true.
-func (s script) proof() result.Ran {
+// lateRan returns the Ran of a late failure; it is RanNo only if the attempt was
+// not run.
+func (s script) lateRan() result.Ran {
 	if s.refuses() {
 		return result.RanNo
 	}
 	return max(s.ran, result.RanUnknown)
 }
 
-// run plays the script on one attempt, and counts it as run unless it proves
-// the contrary.
-func (s script) run(b *bench, call *engineCall, runs map[string]int) {
+// run applies the script to one attempt, and counts the attempt as run unless the
+// script refuses it.
+func (s script) run(b *harness, call *engineCall, runs map[string]int) {
 	refused := s.refuses()
 	if !refused {
 		runs[call.request.RequestID]++
@@ -60,7 +61,7 @@
 		if !refused {
 			s.send(call)
 		}
-		if s.foreign {
+		if s.otherAttempt {
 			call.sink.Chunk(outside.Chunk{Attempt: "foreign", Index: call.request.ResumeFrom, Text: "wrong"})
 			call.sink.End(outside.GenerateEnd{Attempt: "foreign"})
 		}
@@ -68,7 +69,7 @@
 		if s.lateCopy {
 			b.loop.AfterFunc(50*time.Millisecond, func() {
 				s.send(call)
-				call.fail(s.proof(), s.reason)
+				call.fail(s.lateRan(), s.reason)
 				call.end(streamLength)
 			})
 		}
@@ -106,11 +107,13 @@
 	}
 }
 
-// TestOneAnswer submits requests to engines that misbehave at random and checks
-// each request's promises.
+// TestOneAnswer submits requests to engines that fail at random, and checks that
+// each gets exactly one final answer before its deadline, chunks in order and of
+// its latest attempt only, no second run if it is not repeatable, and no refusal
+// as not run if it ran.
 func TestOneAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench(rapid.Uint64().Draw(t, "seed"), Limits{Shards: 2, QueueLength: 4})
+		b := newHarness(rapid.Uint64().Draw(t, "seed"), Limits{Shards: 2, QueueLength: 4})
 		scripts := make([]script, rapid.IntRange(1, 8).Draw(t, "scripts"))
 		for index := range scripts {
 			scripts[index] = drawScript(t, index)
@@ -127,17 +130,17 @@
 		if open := b.gateway.Stats().Open; open != 0 {
 			t.Fatalf("%d work items left open", open)
 		}
-		checkPlaces(t, b)
+		checkReservations(t, b)
 	})
 }
 
-// submittedRequest is a request with what its caller was told.
+// submittedRequest is a request with its recorded answer.
 type submittedRequest struct {
 	request Request
 	caller  *caller
 }
 
-func submitRandom(t *rapid.T, b *bench) []*submittedRequest {
+func submitRandom(t *rapid.T, b *harness) []*submittedRequest {
 	var submitted []*submittedRequest
 	for index := range rapid.IntRange(1, 12).Draw(t, "requests") {
 		name := strconv.Itoa(index)
@@ -180,19 +183,20 @@
 	}
 	ran := runs[s.request.ID]
 	if s.caller.refusal != nil && s.caller.refusal.Ran == result.RanNo && ran > 0 {
-		t.Fatalf("request %s was refused as not run and ran %d times: %v", s.request.ID, ran, s.caller.refusal)
+		t.Fatalf("request %s was refused as not run but ran %d times: %v", s.request.ID, ran, s.caller.refusal)
 	}
 	if !s.request.Repeatable && ran > 1 {
 		t.Fatalf("request %s is not repeatable and ran %d times", s.request.ID, ran)
 	}
 }
 
-// checkPlaces fails if a place at an endpoint was never given back.
-func checkPlaces(t *rapid.T, b *bench) {
+// checkReservations fails if requests are left in a group or a reservation at an
+// endpoint was not released.
+func checkReservations(t *rapid.T, b *harness) {
 	for _, group := range b.gateway.Stats().Groups {
 		t.Fatalf("group %+v is not empty", group)
 	}
 	if capacity := b.gateway.config.Router.Capacity(testModel); capacity.InFlight != 0 {
-		t.Fatalf("%d places are still taken", capacity.InFlight)
+		t.Fatalf("%d reservations at endpoints were not released", capacity.InFlight)
 	}
 }
--- a/internal/gateway/queue.go
+++ b/internal/gateway/queue.go
@@ -8,13 +8,13 @@
 	"github.com/hatchplank/hatchplank/internal/router"
 )
 
-// priorities is the number of priorities, from 0 (lowest).
+// priorities is the number of priorities; 0 is the lowest.
 const priorities = 10
 
 // group is the queue of one base model with its adapters, or of one pool.
 type group struct {
 	key string
-	// name in the router.
+	// name of the base model or pool, as the router uses it.
 	name   string
 	router *router.Router
 	flows  []*flow
@@ -23,49 +23,54 @@
 	byPriority [priorities]int
 	waiting    int
 	running    int
-	// virtualTime of the flow served last.
+	// virtualTime of the flow served last, as in weighted fair queueing.
 	virtualTime float64
-	pass        uint64
-	service     serviceTimes
-	budget      retryBudget
-	wake        timerItem
-	rows        map[string]*rowDemand
-	lastUsed    time.Time
+	// pass counts the dispatches.
+	pass          uint64
+	service       serviceTimes
+	budget        retryBudget
+	dispatchTimer timerItem
+	rows          map[string]*rowDemand
+	lastUsed      time.Time
 }
 
 type flowKey struct {
 	row, tenant string
-	// version is set for streams that must go on with it.
+	// version is set for streams that must continue with it.
 	version string
 }
 
-// flow is what shares fairly: the waiting requests of one tenant for one row,
-// by priority and within a priority by deadline.
+// flow is the unit of fair sharing: the waiting requests of one tenant for one
+// row, ordered by priority and within a priority by deadline.
 type flow struct {
 	key    flowKey
 	weight float64
 	demand *rowDemand
-	// arrivals of the flow, those refused included.
+	// arrivals at the flow, including refused requests.
 	arrivals arrivals
 	heaps    [priorities]entryHeap
 	// occupied has a bit for each priority with waiting requests.
 	occupied uint16
-	latest   [priorities]time.Time
-	waiting  int
-	// virtualTime at which the next request starts.
+	// latest is the latest refusal time that was queued at each priority since
+	// its heap was last empty.
+	latest  [priorities]time.Time
+	waiting int
+	// virtualTime is the virtual start time of the flow's next request.
 	virtualTime float64
-	// blockedPass is the last dispatch in which no endpoint had a place.
+	// blockedPass is the group's last dispatch in which no endpoint could take
+	// the flow's first request.
 	blockedPass uint64
-	// oldest and newest of the waiting, by acceptance.
+	// oldest and newest waiting entry, by time of acceptance.
 	oldest, newest *entry
 }
 
-func (f *flow) top() int { return bits.Len16(f.occupied) - 1 }
+func (f *flow) topPriority() int { return bits.Len16(f.occupied) - 1 }
 
-func (f *flow) head() *entry { return f.heaps[f.top()][0] }
+func (f *flow) head() *entry { return f.heaps[f.topPriority()][0] }
 
-// next returns the flow to serve: highest priority, then least served for its
-// weight, then earliest deadline. Flows blocked in this pass are left out.
+// next returns the flow to serve: the one with the highest priority, then the
+// lowest virtual time, then the earliest deadline. Flows blocked in this pass are
+// skipped; nil if none is left.
 func (g *group) next() *flow {
 	var best *flow
 	for _, flow := range g.flows {
@@ -80,8 +85,8 @@
 }
 
 func (f *flow) before(other *flow) bool {
-	if f.top() != other.top() {
-		return f.top() > other.top()
+	if f.topPriority() != other.topPriority() {
+		return f.topPriority() > other.topPriority()
 	}
 	if f.virtualTime != other.virtualTime {
 		return f.virtualTime < other.virtualTime
@@ -89,7 +94,8 @@
 	return f.head().refuseAt.Before(other.head().refuseAt)
 }
 
-// push adds an entry to its flow.
+// push adds an entry to its flow. A flow that was empty starts at the group's
+// virtual time, so that it gains no credit while idle.
 func (g *group) push(e *entry) {
 	flow := e.flow
 	if flow.waiting == 0 {
@@ -107,7 +113,7 @@
 	g.byPriority[priority]++
 }
 
-// remove takes an entry out of its flow.
+// remove removes an entry from its flow.
 func (g *group) remove(e *entry) {
 	flow := e.flow
 	priority := e.request.Priority
@@ -121,14 +127,15 @@
 	g.byPriority[priority]--
 }
 
-// charge counts a dispatch against the flow's share.
+// charge advances the flow's virtual time by one dispatch.
 func (g *group) charge(flow *flow) {
 	g.virtualTime = max(g.virtualTime, flow.virtualTime)
 	flow.virtualTime += 1 / flow.weight
 }
 
-// link adds an entry to the list by acceptance. New entries belong near the
-// newest, entries that come back after a failed attempt near the oldest.
+// link inserts an entry into the list ordered by time of acceptance. The search
+// starts at the newest for a new entry, and at the oldest for one that returns
+// after a failed attempt, since these are probably closest.
 func (f *flow) link(e *entry) {
 	if e.attempts > 0 {
 		f.linkBefore(e, f.firstAfter(e.request.Accepted))
@@ -154,7 +161,8 @@
 	return newer
 }
 
-// linkBefore puts an entry before the next newer one; nil: at the end.
+// linkBefore inserts an entry before the next newer one, or at the end if that is
+// nil.
 func (f *flow) linkBefore(e, newer *entry) {
 	older := f.newest
 	if newer != nil {
@@ -185,7 +193,7 @@
 	e.older, e.newer = nil, nil
 }
 
-// entryHeap orders entries by deadline.
+// entryHeap orders entries by refusal time; it implements heap.Interface.
 type entryHeap []*entry
 
 func (h entryHeap) Len() int           { return len(h) }
--- a/internal/gateway/recording.go
+++ b/internal/gateway/recording.go
@@ -9,10 +9,10 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// generationContentType marks a recorded generation.
+// generationContentType is the content type of a recorded generation.
 const generationContentType = "application/x-hatchplank-generation"
 
-// recording keeps the text of an answer for replay, up to a limit.
+// recording buffers the text of an answer for replay, up to a size limit.
 type recording struct {
 	text      []byte
 	tokens    int
@@ -29,7 +29,7 @@
 	r.tokens += chunk.Tokens
 }
 
-// recordedGeneration is the recorded form of a generation's answer.
+// recordedGeneration is the gob encoding of a generation's recorded answer.
 type recordedGeneration struct {
 	Text   string
 	Tokens int
@@ -63,23 +63,24 @@
 	s.gateway.config.Claims.Record(e.claimKey(), e.claim.attempt, outcome)
 }
 
-// replay gives a recorded answer, a generation's text as one chunk.
-func (s *shard) replay(e *entry, outcome claims.Outcome, turn *turn) {
+// replay answers with a recorded outcome; a generation's text is sent as one
+// chunk.
+func (s *shard) replay(e *entry, outcome claims.Outcome, section *criticalSection) {
 	if outcome.ContentType != generationContentType {
 		response := outside.BackEndResponse{Status: outcome.Status, ContentType: outcome.ContentType, Body: outcome.Body}
-		s.finish(e, Answer{Response: response, Replayed: true}, turn)
+		s.finish(e, Answer{Response: response, Replayed: true}, section)
 		return
 	}
 	var generation recordedGeneration
 	if gob.NewDecoder(bytes.NewReader(outcome.Body)).Decode(&generation) != nil {
-		s.refuseTruncated(e, turn)
+		s.refuseTruncated(e, section)
 		return
 	}
-	e.post(turn, delivery{chunk: outside.Chunk{
+	e.post(section, delivery{chunk: outside.Chunk{
 		Attempt: generation.End.Attempt,
 		Text:    generation.Text,
 		Tokens:  generation.Tokens,
 	}})
 	generation.End.Chunks = 1
-	s.finish(e, Answer{End: generation.End, Replayed: true}, turn)
+	s.finish(e, Answer{End: generation.End, Replayed: true}, section)
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -1,5 +1,6 @@
-// Package gateway owns the requests a node accepted: admission, queue,
-// deadline, claims, dispatch, retries and the one final answer to each.
+// Package gateway manages the requests that a node accepted: admission, queueing,
+// deadlines, claims on idempotency keys, dispatch to endpoints, retries, and
+// exactly one final answer to each.
 package gateway
 
 import (
@@ -9,7 +10,7 @@
 	"github.com/hatchplank/hatchplank/internal/result"
 )
 
-// Request is a checked request of an authenticated caller.
+// Request is a validated request of an authenticated caller.
 type Request struct {
 	// ID appears in all log lines and in the answer.
 	ID     string
@@ -18,7 +19,7 @@
 	Model string
 	// Pool names the back-end pool; empty for a generation.
 	Pool string
-	// Method and Path are passed on. Path is without the pool's prefix.
+	// Method and Path are forwarded. Path does not include the pool's prefix.
 	Method      string
 	Path        string
 	ContentType string
@@ -27,7 +28,8 @@
 	Prefix []byte
 	// Priority from 0 to 9, higher first.
 	Priority int
-	// Accepted and Deadline are absolute.
+	// Accepted and Deadline are absolute times. Zero means the time of Submit, and
+	// Accepted plus the row's time limit.
 	Accepted time.Time
 	Deadline time.Time
 	// Key is the idempotency key; required if not Repeatable.
@@ -35,13 +37,13 @@
 	Repeatable bool
 }
 
-// Answer ends a served request.
+// Answer is the final answer to a served request.
 type Answer struct {
 	// End is set for a generation.
 	End outside.GenerateEnd
 	// Response is set for a pool request.
 	Response outside.BackEndResponse
-	// Replayed: the outcome was recorded by an earlier run of the same key.
+	// Replayed: the outcome was recorded by an earlier request with the same key.
 	Replayed bool
 	Server   outside.ServerID
 	// Cold: the request waited for a replica to be loaded.
@@ -57,9 +59,10 @@
 	Refuse(refusal result.Refusal)
 }
 
-// Service is what the callers' interface uses.
+// Service is the interface through which the caller-facing API submits requests.
 type Service interface {
-	// Submit takes responsibility for a request. Cancel tells that the caller
-	// is gone; the responder still gets its final call.
+	// Submit accepts or refuses a request. The responder gets exactly one final
+	// call in either case. Cancel reports that the caller has disconnected; the
+	// responder still gets its final call.
 	Submit(request Request, responder Responder) (cancel func())
 }
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -8,27 +8,28 @@
 	"github.com/hatchplank/hatchplank/internal/result"
 )
 
-// counts of a shard since the start.
+// counts are a shard's totals since the start.
 type counts struct {
 	submitted, served, retried uint64
 	refused                    map[result.Code]uint64
 }
 
-// Stats is the state of a gateway for status pages.
+// Stats is a snapshot of a gateway's state, for status pages.
 type Stats struct {
 	Draining bool
-	// Open work items: requests, attempts and claims.
+	// Open is the number of open work items: requests without final answer,
+	// attempts that have not ended and claims without result.
 	Open         int64
 	Waiting      int64
 	WaitingBytes int64
-	// Since the start.
+	// Submitted, Served, Retried and Refused are totals since the start.
 	Submitted, Served, Retried uint64
 	Refused                    map[result.Code]uint64
-	// Groups with requests, in order of name.
+	// Groups with waiting or running requests, sorted by name.
 	Groups []GroupStats
 }
 
-// GroupStats is the state of one base model or pool.
+// GroupStats is the state of the queue of one base model or pool.
 type GroupStats struct {
 	Name             string
 	Waiting, Running int
@@ -38,14 +39,15 @@
 	MeanService time.Duration
 }
 
-// Stats returns the state now.
+// Stats returns a snapshot of the current state. The shards are read one after
+// the other, so the totals need not be consistent with each other.
 func (g *Gateway) Stats() Stats {
 	stats := Stats{
 		Draining: g.drain.draining.Load(),
-		Open:     g.drain.open.Load(),
+		Open:     g.drain.openWork.Load(),
 		Refused:  map[result.Code]uint64{},
 	}
-	stats.Waiting, stats.WaitingBytes = g.room.all()
+	stats.Waiting, stats.WaitingBytes = g.queueUsage.total()
 	for _, shard := range g.shards {
 		shard.addTo(&stats)
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -6,73 +6,78 @@
 	"github.com/hatchplank/hatchplank/internal/router"
 )
 
-// reorderWindow is how many chunks may wait for a missing one.
+// reorderWindow is the maximum number of chunks buffered behind a missing one.
 const reorderWindow = 64
 
 // stream is the state of a request's answer over all its attempts.
 type stream struct {
 	// next is the index of the chunk expected next.
 	next int
-	// version that produced the chunks so far; only it may go on.
+	// version of the weights that produced the chunks so far; only that version
+	// may continue the stream.
 	version string
-	// early holds chunks that came before a missing one.
-	early map[int]outside.Chunk
+	// outOfOrder holds chunks received ahead of a missing one, by index.
+	outOfOrder map[int]outside.Chunk
 	// recorded text of a non-repeatable request's answer.
 	recorded recording
 	routing  router.Request
 }
 
-// receive takes a chunk of the current attempt: in order of index, each once.
-func (s *shard) receive(a *attempt, chunk outside.Chunk, turn *turn) {
+// receiveChunk relays a chunk of the current attempt. Chunks are relayed in order
+// of index and each only once.
+func (s *shard) receiveChunk(a *attempt, chunk outside.Chunk, section *criticalSection) {
 	e := a.entry
 	if !a.answered {
 		a.answered = true
-		e.group.router.ResponseStarted(a.place)
-		s.dispatch(e.group, turn)
+		e.group.router.ResponseStarted(a.reservation)
+		s.dispatch(e.group, section)
 	}
 	switch {
 	case chunk.Index < e.stream.next:
 		return
 	case chunk.Index > e.stream.next:
-		s.receiveEarly(a, chunk, turn)
+		s.bufferChunk(a, chunk, section)
 		return
 	}
-	e.stream.version = a.place.Endpoint.Version
-	e.accept(chunk, turn)
-	for len(e.stream.early) > 0 {
-		following, present := e.stream.early[e.stream.next]
+	e.stream.version = a.reservation.Endpoint.Version
+	e.relayChunk(chunk, section)
+	for len(e.stream.outOfOrder) > 0 {
+		following, present := e.stream.outOfOrder[e.stream.next]
 		if !present {
 			return
 		}
-		delete(e.stream.early, following.Index)
-		e.accept(following, turn)
+		delete(e.stream.outOfOrder, following.Index)
+		e.relayChunk(following, section)
 	}
 }
 
-// accept passes the next chunk on to the caller.
-func (e *entry) accept(chunk outside.Chunk, turn *turn) {
+// relayChunk sends the next chunk to the caller, and records it if the request
+// needs a claim.
+func (e *entry) relayChunk(chunk outside.Chunk, section *criticalSection) {
 	e.stream.next++
 	if e.claim.needed {
 		e.stream.recorded.add(chunk, e.shard.gateway.config.Limits.RecordedBytes)
 	}
-	e.post(turn, delivery{chunk: chunk})
+	e.post(section, delivery{chunk: chunk})
 }
 
-func (s *shard) receiveEarly(a *attempt, chunk outside.Chunk, turn *turn) {
+// bufferChunk stores a chunk until the missing ones are received. If the reorder
+// window is full, the attempt fails as truncated.
+func (s *shard) bufferChunk(a *attempt, chunk outside.Chunk, section *criticalSection) {
 	e := a.entry
-	if len(e.stream.early) >= reorderWindow {
-		s.stop(a, turn)
-		s.failed(a, result.RanYes, reasonTruncated, turn)
+	if len(e.stream.outOfOrder) >= reorderWindow {
+		s.cancelAttempt(a, section)
+		s.attemptFailed(a, result.RanYes, reasonTruncated, section)
 		return
 	}
-	if e.stream.early == nil {
-		e.stream.early = map[int]outside.Chunk{}
+	if e.stream.outOfOrder == nil {
+		e.stream.outOfOrder = map[int]outside.Chunk{}
 	}
-	e.stream.early[chunk.Index] = chunk
+	e.stream.outOfOrder[chunk.Index] = chunk
 }
 
 // streamEnded handles the end of an attempt's stream.
-func (s *shard) streamEnded(a *attempt, end outside.GenerateEnd, turn *turn) {
+func (s *shard) streamEnded(a *attempt, end outside.GenerateEnd, section *criticalSection) {
 	e := a.entry
 	current := a.current()
 	complete := current && end.Chunks == e.stream.next
@@ -80,15 +85,15 @@
 	if current && !complete {
 		outcome = router.Failed
 	}
-	s.settle(a, outcome, &end.Load, turn)
+	s.finishAttempt(a, outcome, &end.Load, section)
 	if !complete {
-		s.failed(a, result.RanYes, reasonTruncated, turn)
+		s.attemptFailed(a, result.RanYes, reasonTruncated, section)
 		return
 	}
 	if e.claim.held {
 		s.recordStream(e, end)
 	}
-	answer := Answer{End: end, Server: a.place.Endpoint.Server, Cold: e.cold}
-	s.finish(e, answer, turn)
-	s.dispatch(e.group, turn)
+	answer := Answer{End: end, Server: a.reservation.Endpoint.Server, Cold: e.cold}
+	s.finish(e, answer, section)
+	s.dispatch(e.group, section)
 }
--- a/internal/gateway/tick.go
+++ b/internal/gateway/tick.go
@@ -8,37 +8,37 @@
 	"github.com/hatchplank/hatchplank/internal/result"
 )
 
-// groupLifetime is how long an unused group is kept.
-const groupLifetime = 10 * time.Minute
+// groupIdleTimeout is how long a group without requests is kept.
+const groupIdleTimeout = 10 * time.Minute
 
-// Tick brings a new revision of the table into force for the waiting requests,
-// and forgets groups that are not used. It is called about once a second.
+// Tick applies a new revision of the table to the waiting requests and removes
+// idle groups. It is called about once a second.
 func (g *Gateway) Tick(now time.Time) {
 	revision := int64(g.config.Table.Revision())
 	changed := g.revision.Swap(revision) != revision
 	for _, shard := range g.shards {
-		turn := shard.begin()
+		section := shard.lock()
 		if changed {
-			shard.applyTable(turn)
+			shard.applyTable(section)
 		}
-		shard.forgetUnused(now)
-		shard.end(turn)
+		shard.removeIdleGroups(now)
+		shard.unlock(section)
 	}
 }
 
-// applyTable refuses the waiting requests whose row is gone or disabled, and
-// takes over the weights.
-func (s *shard) applyTable(turn *turn) {
+// applyTable refuses the waiting requests whose row was deleted, disabled or moved
+// to another base model, and updates the flows' weights.
+func (s *shard) applyTable(section *criticalSection) {
 	for _, key := range slices.Sorted(maps.Keys(s.groups)) {
 		for _, flow := range s.groups[key].flows {
 			if flow.waiting > 0 && !flow.demand.pool {
-				s.applyRow(flow, turn)
+				s.applyRow(flow, section)
 			}
 		}
 	}
 }
 
-func (s *shard) applyRow(flow *flow, turn *turn) {
+func (s *shard) applyRow(flow *flow, section *criticalSection) {
 	row, refusal := s.gateway.resolveRow(flow.key.row, flow.key.tenant)
 	if refusal == nil && baseOf(row) != flow.head().group.key {
 		refusal = refusalf(result.ModelDisabled, "the row %q was given another base model", row.Name)
@@ -48,14 +48,14 @@
 		return
 	}
 	for flow.waiting > 0 {
-		s.giveUp(flow.head(), *refusal, turn)
+		s.abort(flow.head(), *refusal, section)
 	}
 }
 
-func (s *shard) forgetUnused(now time.Time) {
+func (s *shard) removeIdleGroups(now time.Time) {
 	for key, group := range s.groups {
-		if group.waiting+group.running == 0 && now.Sub(group.lastUsed) > groupLifetime {
-			s.unschedule(&group.wake)
+		if group.waiting+group.running == 0 && now.Sub(group.lastUsed) > groupIdleTimeout {
+			s.unschedule(&group.dispatchTimer)
 			delete(s.groups, key)
 		}
 	}
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// timerKind says what is due.
+// timerKind is the action that a timerItem triggers.
 type timerKind uint8
 
 const (
 	timerExpiry timerKind = iota
 	timerBackOff
-	timerWake
+	timerDispatch
 	timerAbandon
 )
 
-// timerItem is one due time in a shard's heap, embedded in what it is about. A
-// shard needs only one clock timer, whatever the number of items.
+// timerItem is an entry of a shard's timer heap. It is embedded in the entry, group
+// or attempt that it belongs to. The heap lets a shard use a single clock timer.
 type timerItem struct {
 	at time.Time
 	// position in the heap plus one; 0: not in the heap.
@@ -54,7 +54,7 @@
 	return item
 }
 
-// schedule sets an item's due time.
+// schedule sets or changes an item's due time.
 func (s *shard) schedule(item *timerItem, at time.Time) {
 	item.at = at
 	if item.position > 0 {
@@ -65,15 +65,15 @@
 	s.arm()
 }
 
-// unschedule removes an item. The clock timer is left alone: firing early is
-// harmless.
+// unschedule removes an item. The clock timer is not changed: if it fires early,
+// nothing is due and it is set again.
 func (s *shard) unschedule(item *timerItem) {
 	if item.position > 0 {
 		heap.Remove(&s.timers, item.position-1)
 	}
 }
 
-// arm makes the clock timer fire at the earliest item.
+// arm sets the clock timer to the due time of the earliest item.
 func (s *shard) arm() {
 	if len(s.timers) == 0 {
 		return
@@ -90,27 +90,27 @@
 	s.timer = s.gateway.config.Clock.AfterFunc(delay, s.fire)
 }
 
-// fire handles what is due.
+// fire is the clock timer's callback; it handles all items that are due.
 func (s *shard) fire() {
-	turn := s.begin()
+	section := s.lock()
 	s.timer = nil
-	for len(s.timers) > 0 && !s.timers[0].at.After(turn.now) {
+	for len(s.timers) > 0 && !s.timers[0].at.After(section.now) {
 		item := heap.Pop(&s.timers).(*timerItem)
-		s.due(item, turn)
+		s.handleTimer(item, section)
 	}
 	s.arm()
-	s.end(turn)
+	s.unlock(section)
 }
 
-func (s *shard) due(item *timerItem, turn *turn) {
+func (s *shard) handleTimer(item *timerItem, section *criticalSection) {
 	switch item.kind {
 	case timerExpiry:
-		s.expire(item.entry, turn)
+		s.expire(item.entry, section)
 	case timerBackOff:
-		s.requeue(item.entry, turn)
-	case timerWake:
-		s.dispatch(item.group, turn)
+		s.requeue(item.entry, section)
+	case timerDispatch:
+		s.dispatch(item.group, section)
 	case timerAbandon:
-		s.abandoned(item.attempt, turn)
+		s.abandonAttempt(item.attempt, section)
 	}
 }
