--- a/internal/api/nodestatus/survey.go
+++ b/internal/api/nodestatus/survey.go
@@ -23,14 +23,14 @@
 
 // ask asks all members for their parts, some at a time.
 func (c *Collector) ask(done func([]part)) {
-	survey.Question[PartReply]{
+	survey.Query[PartReply]{
 		Clock: c.Clock, Transport: c.Transport, Members: c.Members, Message: PartRequest{},
 		Timeout: peerTimeout, Concurrency: askConcurrency, Local: c.localPart,
-		MemberOf: func(reply PartReply) string { return reply.Member },
-	}.Ask(func(answers []survey.Answer[PartReply]) {
+		ResponderID: func(reply PartReply) string { return reply.Member },
+	}.Run(func(answers []survey.Result[PartReply]) {
 		parts := make([]part, 0, len(answers))
 		for _, answer := range answers {
-			parts = append(parts, part{member: answer.Member, reply: answer.Reply, known: answer.Known})
+			parts = append(parts, part{member: answer.Member, reply: answer.Reply, known: answer.Answered})
 		}
 		done(parts)
 	})
--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -38,7 +38,7 @@
 type node struct {
 	process  *simulation.Process
 	registry *membership.Registry
-	owners   *membership.Owners
+	owners   *membership.OwnershipManager
 	meter    *membership.Meter
 	owned    map[string]uint64
 	// releaseDelay is how long the runner takes to release a cell.
@@ -75,7 +75,7 @@
 		Name: name, Incarnation: fmt.Sprintf("%d", c.loop.Executed()), Zone: c.zoneOf(name), PeerAddress: name,
 	}
 	n.registry = membership.NewRegistry(self, c.detector(n))
-	n.owners = membership.NewOwners(self, c.cells, n.meter, n.process, c.loop.Fork(), n, membership.DefaultOwnerOptions(), zerolog.Nop())
+	n.owners = membership.NewOwnershipManager(self, c.cells, n.meter, n.process, c.loop.Fork(), n, membership.DefaultOwnershipOptions(), zerolog.Nop())
 	n.registry.Subscribe(n.owners.SetMembers)
 	n.registry.Start()
 	n.owners.Start()
--- a/internal/membership/heartbeat_detector.go
+++ b/internal/membership/heartbeat_detector.go
@@ -100,8 +100,8 @@
 	d.withdrawLocked(withdrawTries, done)
 }
 
-// Reading implements keywatch.Handler.
-func (d *HeartbeatDetector) Reading(reading outside.RangeResult) {
+// Snapshot implements keywatch.Handler.
+func (d *HeartbeatDetector) Snapshot(reading outside.RangeResult) {
 	d.change(func(now time.Time) error {
 		d.synchronised = true
 		d.interruptionEndedLocked(now)
--- a/internal/membership/heartbeat_options.go
+++ b/internal/membership/heartbeat_options.go
@@ -45,7 +45,7 @@
 	const recoverySpread = 5 * time.Second
 	watch := keywatch.DefaultOptions(HeartbeatPrefix)
 	watch.RecoverySpread = recoverySpread
-	watch.RereadEvery = 30 * time.Minute
+	watch.ResyncInterval = 30 * time.Minute
 	return HeartbeatOptions{
 		Period:           period,
 		DirectTimeout:    period * 3 / 10,
--- a/internal/membership/heartbeat_test.go
+++ b/internal/membership/heartbeat_test.go
@@ -166,8 +166,8 @@
 		before := c.store.Counters().Total()
 		c.loop.RunFor(time.Hour)
 		perNodeAndSecond := float64(c.store.Counters().Total()-before) / 3600 / 12
-		ownership := 2 / membership.DefaultOwnerOptions().Watch.RereadEvery.Seconds()
-		rereads := 2 / membership.DefaultHeartbeatOptions(time.Second).Watch.RereadEvery.Seconds()
+		ownership := 2 / membership.DefaultOwnershipOptions().Watch.ResyncInterval.Seconds()
+		rereads := 2 / membership.DefaultHeartbeatOptions(time.Second).Watch.ResyncInterval.Seconds()
 		Expect(perNodeAndSecond).To(BeNumerically("<=", 1.5*(ownership+rereads)))
 	})
 
--- a/internal/membership/keywatch/watcher.go
+++ b/internal/membership/keywatch/watcher.go
@@ -15,8 +15,8 @@
 // Handler receives what the watcher learns. Calls never overlap. A handler may
 // call the key-value service, but not the watcher's Start and Stop.
 type Handler interface {
-	// Reading gives every key with the prefix at one revision.
-	Reading(reading outside.RangeResult)
+	// Snapshot gives every key with the prefix at one revision.
+	Snapshot(reading outside.RangeResult)
 	// Changes gives what changed since the reading, in order of revision.
 	Changes(events []outside.WatchEvent)
 	// Interrupted tells that changes may go unnoticed until the next Reading.
@@ -34,9 +34,9 @@
 	// RecoverySpread is the span over which readings after a lost watch are
 	// spread, so that many nodes do not read at once.
 	RecoverySpread time.Duration
-	// RereadEvery is the mean time between readings of an undisturbed watch;
+	// ResyncInterval is the mean time between readings of an undisturbed watch;
 	// zero for none.
-	RereadEvery time.Duration
+	ResyncInterval time.Duration
 }
 
 // DefaultOptions returns the options used in a node.
@@ -47,7 +47,7 @@
 		MinBackoff:     500 * time.Millisecond,
 		MaxBackoff:     15 * time.Second,
 		RecoverySpread: 2 * time.Second,
-		RereadEvery:    10 * time.Minute,
+		ResyncInterval: 10 * time.Minute,
 	}
 }
 
@@ -123,7 +123,7 @@
 		w.interrupted(generation, err, w.nextBackoff())
 		return
 	}
-	delivered := w.deliver(generation, func() { w.handler.Reading(reading) })
+	delivered := w.deliver(generation, func() { w.handler.Snapshot(reading) })
 	if !delivered {
 		return
 	}
@@ -135,8 +135,8 @@
 	w.backoff = w.options.MinBackoff
 	subscription := &subscription{watcher: w, generation: generation}
 	w.stopWatch = w.service.Watch(w.options.Prefix, reading.Revision, subscription)
-	if w.options.RereadEvery > 0 {
-		w.readAfterLocked(w.halfToThreeHalves(w.options.RereadEvery))
+	if w.options.ResyncInterval > 0 {
+		w.readAfterLocked(w.halfToThreeHalves(w.options.ResyncInterval))
 	}
 }
 
--- a/internal/membership/lease_detector.go
+++ b/internal/membership/lease_detector.go
@@ -93,8 +93,8 @@
 	d.lease.stop(done)
 }
 
-// Reading implements keywatch.Handler.
-func (d *LeaseDetector) Reading(reading outside.RangeResult) {
+// Snapshot implements keywatch.Handler.
+func (d *LeaseDetector) Snapshot(reading outside.RangeResult) {
 	d.mutex.Lock()
 	d.noteActivityLocked(true)
 	present := make(map[string]bool, len(reading.KeyValues))
--- a/internal/membership/lease_holder.go
+++ b/internal/membership/lease_holder.go
@@ -50,7 +50,7 @@
 	return &leaseHolder{
 		service: service, clock: c, random: random, options: options, log: log, contact: contact,
 		retry:          backoff{minimum: options.MinBackoff, maximum: options.MaxBackoff},
-		keepAliveRetry: backoff{minimum: options.KeepAliveEvery / 2, maximum: 2 * options.KeepAliveEvery},
+		keepAliveRetry: backoff{minimum: options.KeepAliveInterval / 2, maximum: 2 * options.KeepAliveInterval},
 	}
 }
 
@@ -225,7 +225,7 @@
 }
 
 func (h *leaseHolder) scheduleKeepAliveLocked() {
-	h.keepAliveTimer = h.clock.AfterFunc(jittered(h.random, h.options.KeepAliveEvery), h.keepAlive)
+	h.keepAliveTimer = h.clock.AfterFunc(jittered(h.random, h.options.KeepAliveInterval), h.keepAlive)
 }
 
 func (h *leaseHolder) keepAlive() {
@@ -246,7 +246,7 @@
 // saved, and growing ones after that.
 func (h *leaseHolder) keepAliveRetryPauseLocked() time.Duration {
 	if h.clock.Now().Sub(h.keptAliveAt) < h.options.TimeToLive {
-		return jittered(h.random, h.options.KeepAliveEvery/3)
+		return jittered(h.random, h.options.KeepAliveInterval/3)
 	}
 	return h.keepAliveRetry.next(h.random)
 }
--- a/internal/membership/lease_options.go
+++ b/internal/membership/lease_options.go
@@ -14,8 +14,8 @@
 type LeaseOptions struct {
 	// TimeToLive of the lease.
 	TimeToLive time.Duration
-	// KeepAliveEvery is the mean time between two extensions of the lease.
-	KeepAliveEvery time.Duration
+	// KeepAliveInterval is the mean time between two extensions of the lease.
+	KeepAliveInterval time.Duration
 	// Timeout of one call to the key-value service.
 	Timeout time.Duration
 	// MinBackoff and MaxBackoff bound the pause before a failed call is
@@ -35,14 +35,14 @@
 func DefaultLeaseOptions() LeaseOptions {
 	const timeToLive = 10 * time.Second
 	return LeaseOptions{
-		TimeToLive:     timeToLive,
-		KeepAliveEvery: timeToLive / 3,
-		Timeout:        2 * time.Second,
-		MinBackoff:     300 * time.Millisecond,
-		MaxBackoff:     5 * time.Second,
-		RemovalGrace:   time.Second,
-		OutageGrace:    3 * timeToLive,
-		Watch:          keywatch.DefaultOptions(MemberPrefix),
+		TimeToLive:        timeToLive,
+		KeepAliveInterval: timeToLive / 3,
+		Timeout:           2 * time.Second,
+		MinBackoff:        300 * time.Millisecond,
+		MaxBackoff:        5 * time.Second,
+		RemovalGrace:      time.Second,
+		OutageGrace:       3 * timeToLive,
+		Watch:             keywatch.DefaultOptions(MemberPrefix),
 	}
 }
 
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -58,7 +58,7 @@
 		before := c.store.Counters().Total()
 		c.loop.RunFor(20 * time.Minute)
 		perNodeAndSecond := float64(c.store.Counters().Total()-before) / (20 * 60 * 3)
-		keepAlivesPerSecond := 1 / membership.DefaultLeaseOptions().KeepAliveEvery.Seconds()
+		keepAlivesPerSecond := 1 / membership.DefaultLeaseOptions().KeepAliveInterval.Seconds()
 		Expect(perNodeAndSecond).To(BeNumerically("~", keepAlivesPerSecond, 0.05))
 	})
 
--- a/internal/membership/owner_options.go
+++ b/internal/membership/owner_options.go
@@ -10,8 +10,8 @@
 // CellPrefix is where ownership is recorded in the key-value service.
 const CellPrefix = "cells/"
 
-// OwnerOptions of Owners.
-type OwnerOptions struct {
+// OwnershipOptions of Owners.
+type OwnershipOptions struct {
 	// OwnerGrace is how long an owner must be seen missing, after the
 	// Registry removed it, before its cell is taken over.
 	OwnerGrace time.Duration
@@ -36,11 +36,11 @@
 	Watch    keywatch.Options
 }
 
-// DefaultOwnerOptions returns the options used in a node.
-func DefaultOwnerOptions() OwnerOptions {
+// DefaultOwnershipOptions returns the options used in a node.
+func DefaultOwnershipOptions() OwnershipOptions {
 	watch := keywatch.DefaultOptions(CellPrefix)
 	watch.RecoverySpread = 5 * time.Second
-	return OwnerOptions{
+	return OwnershipOptions{
 		OwnerGrace:       time.Second,
 		UnseenOwnerGrace: 30 * time.Second,
 		HandoverDelay:    30 * time.Second,
--- a/internal/membership/owner_writes.go
+++ b/internal/membership/owner_writes.go
@@ -8,16 +8,16 @@
 )
 
 // acquireLocked writes this node into the record at the next epoch.
-func (o *Owners) acquireLocked(cell *cellState) {
+func (o *OwnershipManager) acquireLocked(cell *cellState) {
 	o.writeLocked(cell, ownerRecord{Epoch: cell.record.Epoch + 1, Member: o.self})
 }
 
 // vacateLocked gives the cell up at the epoch held.
-func (o *Owners) vacateLocked(cell *cellState) {
+func (o *OwnershipManager) vacateLocked(cell *cellState) {
 	o.writeLocked(cell, ownerRecord{Epoch: cell.epoch, Member: o.self, Vacant: true})
 }
 
-func (o *Owners) writeLocked(cell *cellState, record ownerRecord) {
+func (o *OwnershipManager) writeLocked(cell *cellState, record ownerRecord) {
 	o.tokens++
 	record.Token = fmt.Sprintf("%s/%d", o.self.ID(), o.tokens)
 	cell.pending = &pendingWrite{record: record, baseRevision: cell.modRevision}
@@ -25,7 +25,7 @@
 }
 
 // resolveLocked brings the pending write nearer to a known outcome.
-func (o *Owners) resolveLocked(cell *cellState) {
+func (o *OwnershipManager) resolveLocked(cell *cellState) {
 	if cell.inFlight || o.inFlight >= o.options.MaxInFlight {
 		return
 	}
@@ -44,7 +44,7 @@
 	})
 }
 
-func (o *Owners) written(cell *cellState, pending *pendingWrite, result outside.TransactionResult, err error) {
+func (o *OwnershipManager) written(cell *cellState, pending *pendingWrite, result outside.TransactionResult, err error) {
 	o.mutex.Lock()
 	o.endLocked(cell, err)
 	switch {
@@ -63,7 +63,7 @@
 
 // probeLocked reads the record before a handover begins, so that a cell is not
 // released while the key-value service is out.
-func (o *Owners) probeLocked(cell *cellState) {
+func (o *OwnershipManager) probeLocked(cell *cellState) {
 	if o.inFlight >= o.options.MaxInFlight {
 		return
 	}
@@ -72,14 +72,14 @@
 }
 
 // readLocked reads one record.
-func (o *Owners) readLocked(cell *cellState) {
+func (o *OwnershipManager) readLocked(cell *cellState) {
 	o.beginLocked(cell)
 	o.service.Range(cell.key, o.options.Timeout, func(result outside.RangeResult, err error) {
 		o.readDone(cell, result, err)
 	})
 }
 
-func (o *Owners) readDone(cell *cellState, result outside.RangeResult, err error) {
+func (o *OwnershipManager) readDone(cell *cellState, result outside.RangeResult, err error) {
 	o.mutex.Lock()
 	o.endLocked(cell, err)
 	if err == nil {
@@ -95,7 +95,7 @@
 // recordReadLocked takes the record out of a reading, which may also hold the
 // cells whose names begin with this one's. If it is unchanged, the pending
 // write has not taken effect, but still may: it is repeated as it is.
-func (o *Owners) recordReadLocked(cell *cellState, result outside.RangeResult) {
+func (o *OwnershipManager) recordReadLocked(cell *cellState, result outside.RangeResult) {
 	found := false
 	for _, keyValue := range result.KeyValues {
 		if keyValue.Key == cell.key {
@@ -112,7 +112,7 @@
 }
 
 // absentLocked takes notice that there is no record. The epoch known is kept.
-func (o *Owners) absentLocked(cell *cellState, revision int64) {
+func (o *OwnershipManager) absentLocked(cell *cellState, revision int64) {
 	if cell.modRevision > revision {
 		return
 	}
@@ -124,7 +124,7 @@
 
 // probedLocked begins the release if the service answered and the cell is
 // still owned.
-func (o *Owners) probedLocked(cell *cellState, err error) {
+func (o *OwnershipManager) probedLocked(cell *cellState, err error) {
 	if err != nil {
 		cell.role = roleOwner
 		return
@@ -137,7 +137,7 @@
 	})
 }
 
-func (o *Owners) released(cell *cellState, epoch uint64) {
+func (o *OwnershipManager) released(cell *cellState, epoch uint64) {
 	o.mutex.Lock()
 	if cell.role == roleReleasing && cell.epoch == epoch {
 		cell.role = roleVacating
@@ -147,13 +147,13 @@
 	o.calls.deliver()
 }
 
-func (o *Owners) beginLocked(cell *cellState) {
+func (o *OwnershipManager) beginLocked(cell *cellState) {
 	cell.inFlight = true
 	o.inFlight++
 }
 
 // endLocked ends a call; after an error the next one waits.
-func (o *Owners) endLocked(cell *cellState, err error) {
+func (o *OwnershipManager) endLocked(cell *cellState, err error) {
 	cell.inFlight = false
 	o.inFlight--
 	if err != nil {
--- a/internal/membership/owners.go
+++ b/internal/membership/owners.go
@@ -14,17 +14,17 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// Owners takes, keeps and hands over the ownership of cells, and knows the
+// OwnershipManager takes, keeps and hands over the ownership of cells, and knows the
 // owners of all; it implements Ownership.
 //
 // Every change of owner is a compare-and-swap that raises the cell's epoch. An
 // owner that can't reach the key-value service goes on, because nobody can
 // replace it without that service either; an owner that sees a higher epoch
 // steps down at once.
-type Owners struct {
+type OwnershipManager struct {
 	service outside.KeyValueService
 	clock   clock.Clock
-	options OwnerOptions
+	options OwnershipOptions
 	log     zerolog.Logger
 	watcher *keywatch.Watcher
 	calls   *runnerCalls
@@ -44,10 +44,10 @@
 	stopTicks    func()
 }
 
-// NewOwners returns the ownership of the named cells, not started. The
+// NewOwnershipManager returns the ownership of the named cells, not started. The
 // source of randomness is used by the ownership alone.
-func NewOwners(self Member, cells []string, service outside.KeyValueService, c clock.Clock, random *rand.Rand, runner CellRunner, options OwnerOptions, log zerolog.Logger) *Owners {
-	owners := &Owners{
+func NewOwnershipManager(self Member, cells []string, service outside.KeyValueService, c clock.Clock, random *rand.Rand, runner CellRunner, options OwnershipOptions, log zerolog.Logger) *OwnershipManager {
+	owners := &OwnershipManager{
 		service: service, clock: c, options: options, log: log, random: random,
 		calls:      &runnerCalls{runner: runner},
 		self:       self,
@@ -70,13 +70,13 @@
 }
 
 // Start reads the records and begins to tick.
-func (o *Owners) Start() {
+func (o *OwnershipManager) Start() {
 	o.watcher.Start()
 	o.stopTicks = clock.Repeat(o.clock, o.options.TickEvery, func() { o.Tick(o.clock.Now()) })
 }
 
 // Stop ends all work without giving cells away; drain before.
-func (o *Owners) Stop() {
+func (o *OwnershipManager) Stop() {
 	o.mutex.Lock()
 	o.stopped = true
 	o.mutex.Unlock()
@@ -87,7 +87,7 @@
 }
 
 // OwnerOf implements Ownership.
-func (o *Owners) OwnerOf(cell string) (Owner, bool) {
+func (o *OwnershipManager) OwnerOf(cell string) (Owner, bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	state := o.byName[cell]
@@ -100,7 +100,7 @@
 
 // Owned returns the names of the cells this node owns or is handing over, in
 // order. A drained node may stop when there are none.
-func (o *Owners) Owned() []string {
+func (o *OwnershipManager) Owned() []string {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	var names []string
@@ -113,7 +113,7 @@
 }
 
 // SetMembers takes the live members; subscribe it to the Registry.
-func (o *Owners) SetMembers(members []Member) {
+func (o *OwnershipManager) SetMembers(members []Member) {
 	o.mutex.Lock()
 	clear(o.live)
 	for _, member := range members {
@@ -131,7 +131,7 @@
 	o.Tick(o.clock.Now())
 }
 
-func (o *Owners) eligible(cell string) func(Member) bool {
+func (o *OwnershipManager) eligible(cell string) func(Member) bool {
 	if o.options.Eligible == nil {
 		return func(Member) bool { return true }
 	}
@@ -139,7 +139,7 @@
 }
 
 // Tick does what is due for each cell.
-func (o *Owners) Tick(now time.Time) {
+func (o *OwnershipManager) Tick(now time.Time) {
 	o.mutex.Lock()
 	if o.synchronised && !o.stopped {
 		for _, cell := range o.cells {
@@ -150,7 +150,7 @@
 	o.calls.deliver()
 }
 
-func (o *Owners) stepLocked(cell *cellState, now time.Time) {
+func (o *OwnershipManager) stepLocked(cell *cellState, now time.Time) {
 	switch {
 	case cell.inFlight || now.Before(cell.retryAt):
 	case cell.pending != nil:
@@ -166,18 +166,18 @@
 	}
 }
 
-func (o *Owners) selfWinsLocked(cell *cellState) bool {
+func (o *OwnershipManager) selfWinsLocked(cell *cellState) bool {
 	return cell.winner.candidate != nil && cell.winner.candidate.member.ID() == o.self.ID()
 }
 
-func (o *Owners) isLiveLocked(member Member) bool {
+func (o *OwnershipManager) isLiveLocked(member Member) bool {
 	return o.live[member.Name] == member.Incarnation && member.Incarnation != ""
 }
 
 // ownerGraceLocked returns how long the owner must be seen missing. An owner
 // that this node never saw alive may only be late in registering again after
 // an outage of the key-value service.
-func (o *Owners) ownerGraceLocked(cell *cellState) time.Duration {
+func (o *OwnershipManager) ownerGraceLocked(cell *cellState) time.Duration {
 	_, nameTaken := o.live[cell.record.Member.Name]
 	if cell.ownerSeen || nameTaken {
 		return o.options.OwnerGrace
@@ -186,7 +186,7 @@
 }
 
 // mayAcquireLocked: this node should own the cell, and its owner is gone.
-func (o *Owners) mayAcquireLocked(cell *cellState, now time.Time) bool {
+func (o *OwnershipManager) mayAcquireLocked(cell *cellState, now time.Time) bool {
 	if !o.selfWinsLocked(cell) {
 		cell.ownerMissingSince = time.Time{}
 		return false
@@ -207,7 +207,7 @@
 
 // shouldHandOverLocked: another member has long been the one to own the cell,
 // or this node drains.
-func (o *Owners) shouldHandOverLocked(cell *cellState, now time.Time) bool {
+func (o *OwnershipManager) shouldHandOverLocked(cell *cellState, now time.Time) bool {
 	if o.self.Draining {
 		return true
 	}
@@ -221,8 +221,8 @@
 	return now.Sub(cell.otherWinnerSince) >= o.options.HandoverDelay
 }
 
-// Reading implements keywatch.Handler.
-func (o *Owners) Reading(reading outside.RangeResult) {
+// Snapshot implements keywatch.Handler.
+func (o *OwnershipManager) Snapshot(reading outside.RangeResult) {
 	o.mutex.Lock()
 	present := make(map[string]bool, len(reading.KeyValues))
 	for _, keyValue := range reading.KeyValues {
@@ -240,7 +240,7 @@
 }
 
 // Changes implements keywatch.Handler.
-func (o *Owners) Changes(events []outside.WatchEvent) {
+func (o *OwnershipManager) Changes(events []outside.WatchEvent) {
 	o.mutex.Lock()
 	for _, event := range events {
 		if !event.Deleted {
@@ -252,10 +252,10 @@
 }
 
 // Interrupted implements keywatch.Handler; ownership goes on.
-func (o *Owners) Interrupted(error) {}
+func (o *OwnershipManager) Interrupted(error) {}
 
 // observeLocked takes notice of a record read from the service.
-func (o *Owners) observeLocked(keyValue outside.KeyValue) {
+func (o *OwnershipManager) observeLocked(keyValue outside.KeyValue) {
 	cell := o.byName[strings.TrimPrefix(keyValue.Key, CellPrefix)]
 	if cell == nil || keyValue.ModRevision <= cell.modRevision {
 		return
@@ -277,7 +277,7 @@
 }
 
 // settleLocked draws the consequences of a new record.
-func (o *Owners) settleLocked(cell *cellState) {
+func (o *OwnershipManager) settleLocked(cell *cellState) {
 	applied := cell.applied()
 	if applied || cell.failed() {
 		cell.pending = nil
@@ -296,7 +296,7 @@
 	}
 }
 
-func (o *Owners) ownLocked(cell *cellState) {
+func (o *OwnershipManager) ownLocked(cell *cellState) {
 	cell.role = roleOwner
 	cell.epoch = cell.record.Epoch
 	cell.otherWinnerSince = time.Time{}
@@ -305,7 +305,7 @@
 	o.calls.add(func(runner CellRunner) { runner.Acquired(name, epoch) })
 }
 
-func (o *Owners) stepDownLocked(cell *cellState, reason string) {
+func (o *OwnershipManager) stepDownLocked(cell *cellState, reason string) {
 	name := cell.name
 	cell.role = roleNone
 	cell.pending = nil
--- a/internal/membership/survey/survey.go
+++ b/internal/membership/survey/survey.go
@@ -10,8 +10,8 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// Question is a message to which every member answers with a Reply.
-type Question[Reply any] struct {
+// Query is a message to which every member answers with a Reply.
+type Query[Reply any] struct {
 	Clock     clock.Clock
 	Transport peer.Transport
 	Members   membership.View
@@ -22,25 +22,25 @@
 	Concurrency int
 	// Local is this node's own answer.
 	Local func() Reply
-	// MemberOf returns the id of the member that gave a reply, so that the
+	// ResponderID returns the id of the member that gave a reply, so that the
 	// answer of a later process at the same address does not count.
-	MemberOf func(Reply) string
+	ResponderID func(Reply) string
 }
 
-// Answer is what one member said.
-type Answer[Reply any] struct {
+// Result is what one member said.
+type Result[Reply any] struct {
 	Member membership.Member
 	Reply  Reply
-	// Known is false if the member did not answer.
-	Known bool
+	// Answered is false if the member did not answer.
+	Answered bool
 }
 
-// Ask asks all members. Done as in package outside; it receives the answers in
+// Run asks all members. Done as in package outside; it receives the answers in
 // order of the members' names.
-func (q Question[Reply]) Ask(done func([]Answer[Reply])) {
+func (q Query[Reply]) Run(done func([]Result[Reply])) {
 	asked := &asking[Reply]{question: q, done: done}
 	for _, member := range q.Members.Members() {
-		asked.answers = append(asked.answers, Answer[Reply]{Member: member})
+		asked.answers = append(asked.answers, Result[Reply]{Member: member})
 	}
 	asked.remaining = len(asked.answers)
 	q.Clock.AfterFunc(0, asked.start)
@@ -48,11 +48,11 @@
 
 // asking is one question on its way.
 type asking[Reply any] struct {
-	question Question[Reply]
-	done     func([]Answer[Reply])
+	question Query[Reply]
+	done     func([]Result[Reply])
 
 	mutex     sync.Mutex
-	answers   []Answer[Reply]
+	answers   []Result[Reply]
 	next      int
 	remaining int
 }
@@ -82,7 +82,7 @@
 	}
 	a.question.Transport.Call(member.PeerAddress, a.question.Message, a.question.Timeout, func(message peer.Message, err error) {
 		reply, ok := message.(Reply)
-		a.answered(index, reply, err == nil && ok && a.question.MemberOf(reply) == member.ID())
+		a.answered(index, reply, err == nil && ok && a.question.ResponderID(reply) == member.ID())
 	})
 }
 
@@ -90,7 +90,7 @@
 	a.mutex.Lock()
 	if known {
 		a.answers[index].Reply = reply
-		a.answers[index].Known = true
+		a.answers[index].Answered = true
 	}
 	a.remaining--
 	finished := a.remaining == 0
--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -31,7 +31,7 @@
 func (n *Node) leaseDetector() membership.Detector {
 	options := membership.DefaultLeaseOptions()
 	options.TimeToLive = n.config.Settings.Intervals.LeaseTTL
-	options.KeepAliveEvery = options.TimeToLive / 3
+	options.KeepAliveInterval = options.TimeToLive / 3
 	options.OutageGrace = 2 * options.TimeToLive
 	return membership.NewLeaseDetector(n.config.KeyValues, n.config.Clock, n.fork(), options, n.part("membership"))
 }
@@ -119,8 +119,8 @@
 	for _, cell := range n.Layout.Cells {
 		names = append(names, cell.Name)
 	}
-	n.Owners = membership.NewOwners(n.config.Self, names, n.config.KeyValues, n.config.Clock, n.fork(),
-		n.Manager, membership.DefaultOwnerOptions(), n.part("ownership"))
+	n.Owners = membership.NewOwnershipManager(n.config.Self, names, n.config.KeyValues, n.config.Clock, n.fork(),
+		n.Manager, membership.DefaultOwnershipOptions(), n.part("ownership"))
 	n.layoutConfirmed = &confirmedOwners{owners: n.Owners}
 }
 
--- a/internal/node/layout.go
+++ b/internal/node/layout.go
@@ -25,7 +25,7 @@
 // confirmedOwners starts the ownership of cells once, unless the node has
 // stopped before.
 type confirmedOwners struct {
-	owners *membership.Owners
+	owners *membership.OwnershipManager
 
 	mutex            sync.Mutex
 	running, stopped bool
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -74,7 +74,7 @@
 	config Config
 
 	Registry   *membership.Registry
-	Owners     *membership.Owners
+	Owners     *membership.OwnershipManager
 	Table      *tablestore.Store
 	Claims     *claims.ClaimSet
 	Machines   *machinelist.Follower
--- a/internal/tablestore/inforce.go
+++ b/internal/tablestore/inforce.go
@@ -18,14 +18,14 @@
 // InForce asks all members which revision they act on. Done as in package
 // platform; it receives the members in order of name.
 func (s *Store) InForce(done func([]NodeRevision)) {
-	survey.Question[RevisionReply]{
+	survey.Query[RevisionReply]{
 		Clock: s.Clock, Transport: s.Transport, Members: s.Members, Message: RevisionRequest{},
 		Timeout: s.options.PeerTimeout, Concurrency: s.options.AskConcurrency, Local: s.ownRevision,
-		MemberOf: func(reply RevisionReply) string { return reply.Member },
-	}.Ask(func(answers []survey.Answer[RevisionReply]) {
+		ResponderID: func(reply RevisionReply) string { return reply.Member },
+	}.Run(func(answers []survey.Result[RevisionReply]) {
 		nodes := make([]NodeRevision, 0, len(answers))
 		for _, answer := range answers {
-			nodes = append(nodes, NodeRevision{Member: answer.Member, Revision: answer.Reply.Revision, Known: answer.Known})
+			nodes = append(nodes, NodeRevision{Member: answer.Member, Revision: answer.Reply.Revision, Known: answer.Answered})
 		}
 		done(nodes)
 	})
--- a/internal/tablestore/options.go
+++ b/internal/tablestore/options.go
@@ -42,7 +42,7 @@
 // DefaultOptions returns the options used in a node.
 func DefaultOptions() Options {
 	watch := keywatch.DefaultOptions(headKey)
-	watch.RereadEvery = time.Minute
+	watch.ResyncInterval = time.Minute
 	watch.MaxBackoff = 5 * time.Second
 	return Options{
 		Timeout:         2 * time.Second,
--- a/internal/tablestore/watch.go
+++ b/internal/tablestore/watch.go
@@ -50,8 +50,8 @@
 // headWatch follows the head in the key-value service.
 type headWatch struct{ store *Store }
 
-// Reading implements keywatch.Handler.
-func (w headWatch) Reading(reading outside.RangeResult) {
+// Snapshot implements keywatch.Handler.
+func (w headWatch) Snapshot(reading outside.RangeResult) {
 	head, exists := findKey(reading.KeyValues, headKey)
 	if !exists {
 		w.store.replica.setLoaded()
