--- a/internal/orders/capacity.go
+++ b/internal/orders/capacity.go
@@ -20,8 +20,8 @@
 }
 
 // awaitCapacity waits until a server's rate limit has capacity, and takes it. It returns false
-// if the server asked for a backoff, or its rate limit has no capacity within
-// serverlimit.Window.
+// if the server asked for a backoff, its rate limit has no capacity within serverlimit.Window,
+// or ctx has ended.
 //
 // Orders and calls for reports count against a server's limit like requests. A load is
 // followed by a call for a report every 50 ms, which without this check would be 20 a second
--- a/internal/orders/election.go
+++ b/internal/orders/election.go
@@ -38,7 +38,8 @@
 	// orders since.
 	Resigned bool `json:"resigned,omitempty"`
 	// Recent lists the servers that were sent orders within the handover period before this
-	// record was written, each with the age of the last order in milliseconds.
+	// record was written, each with the age of the last order in milliseconds. If
+	// Resigned is set, the list is complete.
 	Recent map[string]int64 `json:"recent,omitempty"`
 	// Era is the era of the store in which the record was written. A restore of the store
 	// may bring back an older record and lose later ones.
@@ -79,7 +80,8 @@
 	HandoverPeriod time.Duration
 	// ExtraCampaignWait is how much longer than others this node waits before it campaigns:
 	// the time that its machine takes to send a change to all nodes. Without it, a holder
-	// on one of the smallest of 985 machines ran out of descriptors 14 s after the start.
+	// on one of the smallest of 985 machines ran out of file descriptors 14 s after the
+	// start.
 	ExtraCampaignWait time.Duration
 	Logger            zerolog.Logger
 }
@@ -188,7 +190,7 @@
 func (e *Election) applyRecord(keyValue outside.KeyValue) {
 	var record HolderRecord
 	if err := json.Unmarshal(keyValue.Value, &record); err != nil {
-		e.config.Logger.Error().Err(err).Str("key", keyValue.Key).Msg("record is not understood")
+		e.config.Logger.Error().Err(err).Str("key", keyValue.Key).Msg("cannot decode an election record")
 		return
 	}
 	record.Revision, record.lease, record.receivedAt = keyValue.ModRevision, keyValue.Lease, time.Now()
@@ -217,7 +219,7 @@
 	e.term = nil
 }
 
-// notifyChange wakes whoever waits on changed. It must be called with the lock held.
+// notifyChange wakes the goroutines that wait on changed. It must be called with the lock held.
 func (e *Election) notifyChange() {
 	close(e.changed)
 	e.changed = make(chan struct{})
@@ -280,7 +282,7 @@
 		}
 		term, err := e.campaign(*vacancy)
 		if err != nil {
-			e.config.Logger.Debug().Err(err).Msg("not holder")
+			e.config.Logger.Debug().Err(err).Msg("campaign for the lease failed")
 			e.wait(ctx, changed, campaignRetryPause)
 			continue
 		}
--- a/internal/orders/holder.go
+++ b/internal/orders/holder.go
@@ -45,7 +45,7 @@
 	Name string
 	// Counters returns the nodes that count rate limits, as known to this node.
 	Counters func() ratelimit.Counters
-	// CountersStore saves the list of counting nodes in the store.
+	// SavedCounters saves the list of counting nodes in the store.
 	SavedCounters *CountersStore
 	// Notices are the backoffs and rate limits that servers sent to this node or another one.
 	Notices *notice.Registry
--- a/internal/orders/link.go
+++ b/internal/orders/link.go
@@ -227,8 +227,8 @@
 	}
 }
 
-// apply applies an update from the holder, unless it is from an earlier term, or rate limits
-// from another node.
+// apply applies an update from the holder, or rate limits from another node. Of an update from
+// an earlier term it applies only the rate limits.
 func (l *Link) apply(update Update, from string) {
 	if l.config.Notices.MergeLimits(update.Limits, from) {
 		l.config.Holder.Wake()
--- a/internal/orders/messages.go
+++ b/internal/orders/messages.go
@@ -75,8 +75,9 @@
 }
 
 // Update sends a node the changes that it doesn't have. One without a token is from a node that is
-// not the holder, and contains servers' rate limits. These have no message type of their own,
-// since a node of an earlier build closes a connection on which it receives an unknown type.
+// not the holder, and contains only servers' rate limits. Such an update is not a message type of
+// its own, since a node of an earlier build closes a connection on which it receives an unknown
+// type.
 type Update struct {
 	// Token of the holder's term.
 	Token   int64
--- a/internal/orders/order_history.go
+++ b/internal/orders/order_history.go
@@ -19,7 +19,8 @@
 	// orders to a server that have not.
 	completed map[string]time.Time
 	inFlight  map[string]int
-	// completeFrom is when the history covers all orders of the last handover period.
+	// completeFrom is the time from which on the history covers all orders of the last
+	// handover period.
 	completeFrom time.Time
 }
 
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -203,8 +203,8 @@
 		ginkgo.Entry("an order is in progress", holding(), func(e *entry) { e.busy = true }, load("c"), false),
 		ginkgo.Entry("a server that has not reported", holding(), func(e *entry) { e.reported = false }, load("c"), false),
 		ginkgo.Entry("no server", nil, nil, load("c"), false),
-		ginkgo.Entry("place for an adapter", holding("a"), nil, placement.Action{Kind: placement.LoadAdapter, Model: "a", Adapter: "a1"}, true),
-		ginkgo.Entry("no place for an adapter", holding("a"), func(e *entry) { e.models["a"].adapters["a2"] = true },
+		ginkgo.Entry("free adapter slot", holding("a"), nil, placement.Action{Kind: placement.LoadAdapter, Model: "a", Adapter: "a1"}, true),
+		ginkgo.Entry("no free adapter slot", holding("a"), func(e *entry) { e.models["a"].adapters["a2"] = true },
 			placement.Action{Kind: placement.LoadAdapter, Model: "a", Adapter: "a1"}, false),
 		ginkgo.Entry("adapter without its model", holding("b"), nil, placement.Action{Kind: placement.LoadAdapter, Model: "a", Adapter: "a1"}, false),
 	)
--- a/internal/orders/sample.go
+++ b/internal/orders/sample.go
@@ -33,7 +33,8 @@
 type sampler struct {
 	demand map[string]*placement.Demand
 	now    time.Time
-	// holders counts the servers chosen for each model, and spares the other ones.
+	// holders is the number of servers chosen for each requested model, and spares the number
+	// of other servers chosen.
 	holders map[string]int
 	spares  int
 }
--- a/internal/orders/scale_test.go
+++ b/internal/orders/scale_test.go
@@ -198,7 +198,7 @@
 
 // Callers at many nodes request many adapters that no server holds, all at the same time: the
 // worst load that a round of admissions puts on a holder. Each adapter is ordered once, at a
-// server that holds its model, and takes no more than one place.
+// server that holds its model, and takes no more than one adapter slot.
 func TestEachAdapterIsOrderedOnce(t *testing.T) {
 	g := NewWithT(t)
 	table := reportedServers(largeSnapshot(largeFleet))
@@ -270,7 +270,7 @@
 	})
 }
 
-// The work of one tick on 10,000 servers, without the plan, takes 2.5 ms.
+// BenchmarkSample measures the work of one tick on 10,000 servers: 2.5 ms without the plan.
 func BenchmarkSample(b *testing.B) {
 	snapshot := largeSnapshot(largeFleet)
 	table := reportedServers(snapshot)
