--- a/internal/mirror/fakes_test.go
+++ b/internal/mirror/fakes_test.go
@@ -28,10 +28,10 @@
 	// own keys, and the parts of the records snapshot.
 	own      map[string]outside.WatchEvent
 	snapshot []SnapshotPart
-	// staleReads: stale reads return the snapshot before the last one.
+	// staleReads makes stale reads return the snapshot before the last one.
 	staleReads       bool
 	previousSnapshot []SnapshotPart
-	// compacted: changes up to this revision are not kept.
+	// compacted is the revision up to which changes are not kept.
 	compacted int64
 	changed   chan struct{}
 }
@@ -146,9 +146,9 @@
 type fakeSource struct {
 	store *fakeStore
 	mutex sync.Mutex
-	// unavailable: calls fail; unresponsive: they are not answered.
+	// unavailable makes calls fail; unresponsive leaves them without an answer.
 	unavailable, unresponsive bool
-	// stalled: watches deliver no changes.
+	// stalled makes watches deliver no changes.
 	stalled bool
 	// readTime is how long a read of the whole state takes.
 	readTime time.Duration
@@ -426,10 +426,10 @@
 	return n.nodes[to]
 }
 
-func (n *fakeNetwork) setPartitioned(address string, cut bool) {
+func (n *fakeNetwork) setPartitioned(address string, partitioned bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.partitioned[address] = cut
+	n.partitioned[address] = partitioned
 }
 
 // fakeOwn records the values of the own keys.
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -66,7 +66,7 @@
 	// Changes returns the changes after the revision. If there are none yet it waits for some, and
 	// may return none. It returns ErrCompacted if the whole state has to be read instead.
 	Changes(ctx context.Context, after int64, wait time.Duration) (Changes, error)
-	// OwnChanges is Changes of the own keys alone.
+	// OwnChanges is like Changes, for the own keys alone.
 	OwnChanges(ctx context.Context, after int64, wait time.Duration) (Changes, error)
 	// Configuration returns the configuration alone, as changes since revision zero.
 	Configuration(ctx context.Context) (Changes, error)
@@ -172,8 +172,8 @@
 	// contentDeadline is until when this node waits for the content of a configuration that the
 	// relay announced.
 	contentDeadline time.Time
-	// drifted: another node has other records for the same revision, so the whole state is read
-	// again; driftReadAt is when that was done last.
+	// drifted is set if another node has other records for the same revision, so that the whole
+	// state is read again; driftReadAt is when that was done last.
 	drifted     bool
 	driftReadAt time.Time
 	// subscribers by address; all changes up to pushedRevision were pushed to them.
@@ -181,23 +181,23 @@
 	pushedRevision int64
 	// following reports whether this node follows the relay, as last logged.
 	following bool
-	// storeUnavailable: the last call to the store failed; failurePause is the pause after the last
-	// failed call, zero since one succeeded. recoveredAt is when state was received again after
-	// that, from the store or from the relay.
+	// storeUnavailable is set if the last call to the store failed; failurePause is the pause after
+	// the last failed call, zero since one succeeded. recoveredAt is when state was received again
+	// after that, from the store or from the relay.
 	storeUnavailable bool
 	failurePause     time.Duration
 	recoveredAt      time.Time
-	// largeFleet: there are more servers' records than one call delivers.
+	// largeFleet is set if there are more servers' records than one call delivers.
 	largeFleet bool
-	// partial: only the records that changed since partialAt are known; the view keeps showing the
-	// servers known before.
+	// partial is set while only the records that changed since partialAt are known; the view keeps
+	// showing the servers known before.
 	partial   bool
 	partialAt time.Time
-	// initialized: all records were known once. snapshotWait is how long a node with partial state
-	// waits for a records snapshot.
+	// initialized is set once all records were known. snapshotWait is how long a node with partial
+	// state waits for a records snapshot.
 	initialized  bool
 	snapshotWait time.Duration
-	// readingRecords: a read of all records is in progress in the background.
+	// readingRecords is set while a read of all records is in progress in the background.
 	readingRecords bool
 	// ownKeysRevision is the revision up to which changes of own keys were passed on.
 	ownKeysRevision int64
@@ -216,13 +216,13 @@
 	// there is one. lastRelay is the relay that it followed last.
 	noRelaySince time.Time
 	lastRelay    string
-	// era of the last read of the whole state; eraKnown: there was one. latestRevision is the
-	// highest revision reached before the current read of the whole state.
+	// era is that of the last read of the whole state; eraKnown is set once there was one.
+	// latestRevision is the highest revision reached before the current read of the whole state.
 	era, latestRevision int64
 	eraKnown            bool
-	// afterRestore: the next read of the servers' records is the first one since a restore of the
-	// store. removedBefore are the servers that had been removed before the restore; reappeared are
-	// those of them that it brought back, which are not used until reappearedUntil.
+	// afterRestore is set if the next read of the servers' records is the first one since a restore
+	// of the store. removedBefore are the servers that had been removed before the restore;
+	// reappeared are those of them that it brought back, which are not used until reappearedUntil.
 	afterRestore    bool
 	removedBefore   map[string]int64
 	reappeared      map[string]*fleet.Server
--- a/internal/mirror/relay.go
+++ b/internal/mirror/relay.go
@@ -57,8 +57,8 @@
 	Content []byte
 	// Digest of all records at the revision At; zero in updates that are pushed.
 	Digest Digest
-	// Skipped: more records changed than are sent, so that they have to be read from the snapshot
-	// in the store. Own then holds all own keys that exist, whatever the base.
+	// Skipped is set if more records changed than are sent, so that they have to be read from the
+	// snapshot in the store. Own then holds all own keys that exist, whatever the base.
 	Skipped bool
 	Servers []ServerRecord
 	Ended   []string
--- a/internal/mirror/restore_test.go
+++ b/internal/mirror/restore_test.go
@@ -29,8 +29,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Followers without updates from the relay kept the revision from before the restore, and ignored
-// the relay's updates after it as old.
+// Guards against a fault: the relay did not notify its followers of a restore. They kept the
+// revision from before it, and ignored the relay's later updates as old.
 func TestFollowersReadAgainWhenTheRelayIsInALaterEra(t *testing.T) {
 	withNodes(t, 6, func(d *deployment) {
 		d.rewriteRecord(3)
@@ -55,8 +55,8 @@
 	})
 }
 
-// A relay that could not reach the store after a restore replied to followers which had read the
-// new state as if its own state were complete up to their revision.
+// Guards against a fault: a relay that could not reach the store after a restore replied to
+// followers which had read the new state as if its own state were complete up to their revision.
 func TestRelayInAnEarlierEraIsNotFollowed(t *testing.T) {
 	withNodes(t, 3, func(d *deployment) {
 		d.rewriteRecord(3)
@@ -119,7 +119,8 @@
 
 // After a restore all nodes of a large fleet read again at once, as at a start: each reads the
 // configuration and the own keys, only the relay reads the records, and the others read its
-// snapshot once each. A relay that had lost the manifest of its snapshot never wrote another one.
+// snapshot once each. Guards against a fault: a relay whose manifest was lost in the restore never
+// wrote another snapshot.
 func TestOnlyTheRelayReadsTheRecordsAfterARestore(t *testing.T) {
 	withLargeFleet(t, 40, func(d *deployment) {
 		time.Sleep(2 * settled)
--- a/internal/mirror/snapshot.go
+++ b/internal/mirror/snapshot.go
@@ -157,9 +157,10 @@
 	m.mergeRecords(snapshot.Records, snapshot.Revision, snapshot.Revision)
 }
 
-// fetchSnapshot reads parts of the snapshot with a stale read, at a tenth of a call's price, and
-// again at the full price if they are from before the revision. It returns nil if they can't be
-// decoded; another snapshot or a read of the records will take their place.
+// fetchSnapshot reads parts of the snapshot with a stale read, which costs a tenth of a normal one,
+// and again with a normal one if they are from before the revision or can't be decoded. It returns
+// nil if neither read gives parts that can be decoded and are recent enough; another snapshot or a
+// read of the records will take their place.
 func (m *Mirror) fetchSnapshot(ctx context.Context, prefix string, from int64) (*recordsSnapshot, error) {
 	for _, stale := range []bool{true, false} {
 		parts, err := m.config.Source.ReadSnapshot(ctx, prefix, stale)
--- a/internal/mirror/snapshot_test.go
+++ b/internal/mirror/snapshot_test.go
@@ -387,7 +387,7 @@
 	return records
 }
 
-// Time and bytes that a node of a fleet of 10,000 servers spends on a snapshot.
+// BenchmarkSnapshot measures the time and bytes that a snapshot of 10,000 servers takes.
 func BenchmarkSnapshot(b *testing.B) {
 	content := recordsSnapshot{Revision: 7, Records: benchmarkRecords(10000)}
 	parts, err := content.encode()
@@ -415,7 +415,7 @@
 	})
 }
 
-// Time that the relay of 10,000 servers spends on the reply to one subscription.
+// BenchmarkUpdate measures the relay's reply to one subscription in a fleet of 10,000 servers.
 func BenchmarkUpdate(b *testing.B) {
 	s := newState(0)
 	for i, record := range benchmarkRecords(10000) {
--- a/internal/mirror/snapshot_write.go
+++ b/internal/mirror/snapshot_write.go
@@ -16,9 +16,9 @@
 	// enough that a change which only a snapshot contains is known in time. A snapshot of 10,000
 	// records takes 22 ms to encode.
 	snapshotIntervalShare = 0.3
-	// maxSnapshotAge is when a snapshot is written again although nothing changed: the changes
-	// after its revision must still be in the store's history, of which the users' platform keeps
-	// 20 s.
+	// maxSnapshotAge is the age at which a snapshot is written again although nothing changed: the
+	// changes after its revision must still be in the store's history, of which the users' platform
+	// keeps 20 s.
 	maxSnapshotAge = 6 * time.Second
 )
 
@@ -39,8 +39,8 @@
 	go m.writeSnapshot(ctx, snapshot, replaced, revision)
 }
 
-// writeSnapshot writes a snapshot in place of the one that the manifest describes, provided that the
-// manifest's key still has the revision, and logs the result.
+// writeSnapshot writes a snapshot in place of the one that the manifest describes, provided that
+// the manifest's key still has the revision, and logs the result.
 func (m *Mirror) writeSnapshot(ctx context.Context, snapshot recordsSnapshot, replaced snapshotManifest, revision int64) {
 	err := m.storeSnapshot(ctx, snapshot, replaced, revision)
 	m.mutex.Lock()
--- a/internal/mirror/state.go
+++ b/internal/mirror/state.go
@@ -18,8 +18,8 @@
 // revision of the last change that matters to others. A server that only wrote the same record
 // again did not change.
 type state struct {
-	// baseRevision: changes at this revision or before can't be reported, and only from this one on
-	// does the state equal exactly what the store held at a revision.
+	// baseRevision is the revision up to which changes can't be reported. Only from it on does the
+	// state equal exactly what the store held at a revision.
 	baseRevision int64
 	// configuration is the revision of the newest one.
 	configuration int64
@@ -122,7 +122,7 @@
 	return records
 }
 
-// maxChanged is the number of changes that are kept for reports.
+// maxChanged is how many changes are kept for reports once there are more than twice as many.
 const maxChanged = 4096
 
 // trim forgets the older half of the removed servers, and the changes that are too old, once there
