--- a/internal/gateway/benchmark_test.go
+++ b/internal/gateway/benchmark_test.go
@@ -18,33 +18,33 @@
 func (discard) Refuse(result.Refusal) {}
 
 func warmHarness(batch int) *harness {
-	b := newHarness(1, Limits{QueueLength: 1 << 20, Waiting: 1 << 20})
-	b.warm(batch, "s1", "s2", "s3", "s4")
-	return b
+	h := newHarness(1, Limits{QueueLength: 1 << 20, Waiting: 1 << 20})
+	h.warm(batch, "s1", "s2", "s3", "s4")
+	return h
 }
 
 // BenchmarkRequest measures one request with three chunks from Submit to Finish,
 // including the cost of the fakes and the virtual clock.
 func BenchmarkRequest(bm *testing.B) {
-	b := warmHarness(64)
-	request := b.generation(time.Second)
+	h := warmHarness(64)
+	request := h.generation(time.Second)
 	bm.ReportAllocs()
 	for bm.Loop() {
-		request.Accepted = b.loop.Now()
+		request.Accepted = h.loop.Now()
 		request.Deadline = request.Accepted.Add(time.Second)
-		b.gateway.Submit(request, discard{})
-		b.loop.RunFor(2 * time.Millisecond)
-		b.engines.calls = b.engines.calls[:0]
+		h.gateway.Submit(request, discard{})
+		h.loop.RunFor(2 * time.Millisecond)
+		h.engines.calls = h.engines.calls[:0]
 	}
 }
 
 // BenchmarkChunk measures relaying one chunk.
 func BenchmarkChunk(bm *testing.B) {
-	b := warmHarness(64)
+	h := warmHarness(64)
 	var call *engineCall
-	b.engines.serve = func(started *engineCall) { call = started }
-	b.gateway.Submit(b.generation(time.Hour), discard{})
-	b.loop.RunFor(2 * time.Millisecond)
+	h.engines.serve = func(started *engineCall) { call = started }
+	h.gateway.Submit(h.generation(time.Hour), discard{})
+	h.loop.RunFor(2 * time.Millisecond)
 	chunk := outside.Chunk{Attempt: call.request.Attempt, Text: " token", Tokens: 1}
 	bm.ReportAllocs()
 	for bm.Loop() {
@@ -58,19 +58,19 @@
 // the cost of queueing and cancelling one more when 100,000 wait.
 func BenchmarkWaiting(bm *testing.B) {
 	const waiting = 100_000
-	b := warmHarness(1)
-	b.engines.serve = func(*engineCall) {}
+	h := warmHarness(1)
+	h.engines.serve = func(*engineCall) {}
 	before := heapInUse()
 	for index := range waiting {
-		request := b.generation(time.Hour + time.Duration(index%1000)*time.Millisecond)
+		request := h.generation(time.Hour + time.Duration(index%1000)*time.Millisecond)
 		request.ID = fmt.Sprintf("request-%d", index)
-		b.gateway.Submit(request, discard{})
+		h.gateway.Submit(request, discard{})
 	}
 	perRequest := float64(heapInUse()-before) / waiting
-	request := b.generation(2 * time.Hour)
+	request := h.generation(2 * time.Hour)
 	bm.ReportAllocs()
 	for bm.Loop() {
-		b.gateway.Submit(request, discard{})()
+		h.gateway.Submit(request, discard{})()
 	}
 	bm.ReportMetric(perRequest, "B/waiting")
 	if perRequest > 20<<10 {
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -240,7 +240,7 @@
 
 func newHarness(seed uint64, limits Limits) *harness {
 	loop := simulation.NewLoop(seed)
-	b := &harness{
+	h := &harness{
 		loop: loop,
 		table: &fakeTable{revision: 1, rows: map[string]table.Row{
 			testModel: {Name: testModel, Kind: table.KindModel, Version: "1", Weight: 1, MaxReplicas: 2, TimeLimit: time.Minute, Repeatable: true},
@@ -252,60 +252,60 @@
 		backEnds:  &fakeBackEnds{loop: loop, serve: respond},
 		claims:    &fakeClaims{loop: loop, delay: 2 * time.Millisecond, held: map[claims.Key]*fakeClaim{}},
 	}
-	b.engines.serve = func(call *engineCall) {
+	h.engines.serve = func(call *engineCall) {
 		call.chunks(call.request.ResumeFrom, 3)
 		call.end(3)
 	}
 	random := func() *rand.Rand { return loop.Fork() }
-	b.gateway = New(Config{
-		Clock: loop, Random: random(), Node: "node-1#a", Table: b.table, Logger: zerolog.Nop(), Limits: limits,
-		Directory: b.directory, Engines: b.engines, Claims: b.claims, Pools: b.pools, BackEnds: b.backEnds,
-		Router:     router.New(router.Config{Clock: loop, Random: random(), Source: b.directory, Slack: 1}),
-		PoolRouter: router.New(router.Config{Clock: loop, Random: random(), Source: b.pools, Slack: 1}),
+	h.gateway = New(Config{
+		Clock: loop, Random: random(), Node: "node-1#a", Table: h.table, Logger: zerolog.Nop(), Limits: limits,
+		Directory: h.directory, Engines: h.engines, Claims: h.claims, Pools: h.pools, BackEnds: h.backEnds,
+		Router:     router.New(router.Config{Clock: loop, Random: random(), Source: h.directory, Slack: 1}),
+		PoolRouter: router.New(router.Config{Clock: loop, Random: random(), Source: h.pools, Slack: 1}),
 	})
-	b.directory.onInvalidate = b.gateway.EndpointsChanged
-	return b
+	h.directory.onInvalidate = h.gateway.EndpointsChanged
+	return h
 }
 
 // warm makes the test model ready at the servers.
-func (b *harness) warm(batch int, servers ...string) {
-	b.directory.set(testModel, batch, servers...)
-	b.gateway.EndpointsChanged(testModel)
+func (h *harness) warm(batch int, servers ...string) {
+	h.directory.set(testModel, batch, servers...)
+	h.gateway.EndpointsChanged(testModel)
 }
 
 // generation returns a repeatable request for the test model.
-func (b *harness) generation(limit time.Duration) Request {
-	b.requests++
-	now := b.loop.Now()
+func (h *harness) generation(limit time.Duration) Request {
+	h.requests++
+	now := h.loop.Now()
 	return Request{
-		ID: fmt.Sprintf("r%d", b.requests), Tenant: "alpha", Model: testModel, Path: "/v1/completions", Body: []byte("{}"),
+		ID: fmt.Sprintf("r%d", h.requests), Tenant: "alpha", Model: testModel, Path: "/v1/completions", Body: []byte("{}"),
 		Priority: 5, Accepted: now, Deadline: now.Add(limit), Repeatable: true,
 	}
 }
 
 // poolRequest returns a non-repeatable request for the test pool.
-func (b *harness) poolRequest(limit time.Duration, key string) Request {
-	request := b.generation(limit)
+func (h *harness) poolRequest(limit time.Duration, key string) Request {
+	request := h.generation(limit)
 	request.Model, request.Pool, request.Key, request.Repeatable = "", testPool, key, false
 	return request
 }
 
 // latest returns the id of a request's latest generation attempt.
-func (b *harness) latest(request string) outside.AttemptID {
-	for index := len(b.engines.calls) - 1; index >= 0; index-- {
-		if b.engines.calls[index].request.RequestID == request {
-			return b.engines.calls[index].request.Attempt
+func (h *harness) latest(request string) outside.AttemptID {
+	for index := len(h.engines.calls) - 1; index >= 0; index-- {
+		if h.engines.calls[index].request.RequestID == request {
+			return h.engines.calls[index].request.Attempt
 		}
 	}
 	return ""
 }
 
-func (b *harness) submit(request Request) (*caller, func()) {
-	c := &caller{clock: b.loop}
+func (h *harness) submit(request Request) (*caller, func()) {
+	c := &caller{clock: h.loop}
 	c.onChunk = func(chunk outside.Chunk) {
-		if chunk.Attempt != b.latest(request.ID) {
+		if chunk.Attempt != h.latest(request.ID) {
 			c.stale++
 		}
 	}
-	return c, b.gateway.Submit(request, c)
+	return c, h.gateway.Submit(request, c)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -117,6 +117,8 @@
 	return baseOf(row), entry.checkKey()
 }
 
+// baseOf returns the name of the base model that serves a row: an adapter's base,
+// otherwise the row itself.
 func baseOf(row table.Row) string {
 	if row.Kind == table.KindAdapter {
 		return row.Base
@@ -148,6 +150,7 @@
 	return entry.checkKey()
 }
 
+// checkKey refuses a request that needs a claim but has no idempotency key.
 func (e *entry) checkKey() *result.Refusal {
 	if e.claim.needed && e.request.Key == "" {
 		return refusalf(result.KeyRequired, "the request is not repeatable and has no idempotency key")
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -163,41 +163,41 @@
 	})
 
 	It("does not amplify a failure by retries", func() {
-		b := newHarness(10, Limits{})
-		random := b.loop.Fork()
-		b.engines.serve = func(call *engineCall) {
+		h := newHarness(10, Limits{})
+		random := h.loop.Fork()
+		h.engines.serve = func(call *engineCall) {
 			if random.Float64() < 0.5 {
 				call.fail(result.RanUnknown, "failed")
 				return
 			}
 			call.end(0)
 		}
-		b.warm(50, "s1", "s2", "s3", "s4")
+		h.warm(50, "s1", "s2", "s3", "s4")
 		const requests = 5000
 		for index := range requests {
-			b.loop.AfterFunc(time.Duration(index)*10*time.Millisecond, func() { b.submit(b.generation(5 * time.Second)) })
+			h.loop.AfterFunc(time.Duration(index)*10*time.Millisecond, func() { h.submit(h.generation(5 * time.Second)) })
 		}
-		b.loop.RunFor(2 * time.Minute)
-		amplification := float64(len(b.engines.calls)) / requests
-		fmt.Fprintf(GinkgoWriter, "amplification %.3f, %+v\n", amplification, b.gateway.Stats())
+		h.loop.RunFor(2 * time.Minute)
+		amplification := float64(len(h.engines.calls)) / requests
+		fmt.Fprintf(GinkgoWriter, "amplification %.3f, %+v\n", amplification, h.gateway.Stats())
 		Expect(amplification).To(BeNumerically("<", 1.12))
-		Expect(b.gateway.Stats().Open).To(BeZero())
+		Expect(h.gateway.Stats().Open).To(BeZero())
 	})
 })
 
 var _ = DescribeTable("a full queue",
 	func(change func(r *Request), code, displaced result.Code) {
-		b := newHarness(11, Limits{QueueLength: 2})
-		b.table.rows["other"] = table.Row{Name: "other", Kind: table.KindAdapter, Base: testModel, Weight: 1, MaxReplicas: 1, Repeatable: true}
-		first, _ := b.submit(b.generation(time.Minute))
-		second, _ := b.submit(b.generation(2 * time.Minute))
-		request := b.generation(time.Minute)
+		h := newHarness(11, Limits{QueueLength: 2})
+		h.table.rows["other"] = table.Row{Name: "other", Kind: table.KindAdapter, Base: testModel, Weight: 1, MaxReplicas: 1, Repeatable: true}
+		first, _ := h.submit(h.generation(time.Minute))
+		second, _ := h.submit(h.generation(2 * time.Minute))
+		request := h.generation(time.Minute)
 		change(&request)
-		third, _ := b.submit(request)
+		third, _ := h.submit(request)
 		Expect(third.code()).To(Equal(code))
 		Expect(first.code()).To(Equal(result.OK))
 		Expect(second.code()).To(Equal(displaced))
-		Expect(b.gateway.Stats().Waiting).To(BeEquivalentTo(2))
+		Expect(h.gateway.Stats().Waiting).To(BeEquivalentTo(2))
 	},
 	Entry("refuses a request of the same flow", unchanged, result.QueueFull, result.OK),
 	Entry("displaces a request of lower priority", func(r *Request) { r.Priority = 6 }, result.OK, result.Displaced),
@@ -208,27 +208,27 @@
 // fullNode returns a harness whose node has queued as many requests for the test
 // model as the limits allow, with a row for a second model that has no server.
 func fullNode(limits Limits) *harness {
-	b := newHarness(12, limits)
-	b.engines.serve = func(*engineCall) {}
-	row := b.table.rows[testModel]
+	h := newHarness(12, limits)
+	h.engines.serve = func(*engineCall) {}
+	row := h.table.rows[testModel]
 	row.Name = "second"
-	b.table.rows["second"] = row
+	h.table.rows["second"] = row
 	for range 3 {
-		b.submit(b.generation(time.Minute))
+		h.submit(h.generation(time.Minute))
 	}
-	return b
+	return h
 }
 
 var _ = DescribeTable("a full node",
 	func(limits Limits, change func(r *Request), code result.Code, displaced int) {
-		b := fullNode(limits)
-		request := b.generation(time.Minute)
+		h := fullNode(limits)
+		request := h.generation(time.Minute)
 		request.Model = "second"
 		change(&request)
-		submitted, _ := b.submit(request)
+		submitted, _ := h.submit(request)
 		Expect(submitted.code()).To(Equal(code))
-		Expect(b.gateway.Stats().Refused[result.Displaced]).To(BeEquivalentTo(displaced))
-		Expect(b.gateway.Stats().Waiting).To(BeEquivalentTo(3 - displaced + map[result.Code]int{result.OK: 1}[code]))
+		Expect(h.gateway.Stats().Refused[result.Displaced]).To(BeEquivalentTo(displaced))
+		Expect(h.gateway.Stats().Waiting).To(BeEquivalentTo(3 - displaced + map[result.Code]int{result.OK: 1}[code]))
 	},
 	Entry("displaces a request of lower priority for another model", Limits{Waiting: 3}, func(r *Request) { r.Priority = 6 }, result.OK, 1),
 	Entry("refuses a request of the same priority", Limits{Waiting: 3}, unchanged, result.QueueFull, 0),
@@ -242,13 +242,13 @@
 )
 
 var _ = It("a full node serves a request that need not wait", func() {
-	b := fullNode(Limits{Waiting: 3})
-	b.directory.set("second", 1, "s2")
-	request := b.generation(time.Minute)
+	h := fullNode(Limits{Waiting: 3})
+	h.directory.set("second", 1, "s2")
+	request := h.generation(time.Minute)
 	request.Model = "second"
-	b.submit(request)
-	Expect(b.gateway.Stats().Groups).To(ContainElement(HaveField("Running", 1)))
+	h.submit(request)
+	Expect(h.gateway.Stats().Groups).To(ContainElement(HaveField("Running", 1)))
 	request.ID = "one too many"
-	late, _ := b.submit(request)
+	late, _ := h.submit(request)
 	Expect(late.code()).To(Equal(result.QueueFull))
 })
--- a/internal/gateway/property_test.go
+++ b/internal/gateway/property_test.go
@@ -52,12 +52,12 @@
 
 // run applies the script to one attempt, and counts the attempt as run unless the
 // script refuses it.
-func (s script) run(b *harness, call *engineCall, runs map[string]int) {
+func (s script) run(h *harness, call *engineCall, runs map[string]int) {
 	refused := s.refuses()
 	if !refused {
 		runs[call.request.RequestID]++
 	}
-	b.loop.AfterFunc(s.delay, func() {
+	h.loop.AfterFunc(s.delay, func() {
 		if !refused {
 			s.send(call)
 		}
@@ -67,7 +67,7 @@
 		}
 		s.finish(call)
 		if s.lateCopy {
-			b.loop.AfterFunc(50*time.Millisecond, func() {
+			h.loop.AfterFunc(50*time.Millisecond, func() {
 				s.send(call)
 				call.fail(s.lateRan(), s.reason)
 				call.end(streamLength)
@@ -113,24 +113,24 @@
 // as not run if it ran.
 func TestOneAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newHarness(rapid.Uint64().Draw(t, "seed"), Limits{Shards: 2, QueueLength: 4})
+		h := newHarness(rapid.Uint64().Draw(t, "seed"), Limits{Shards: 2, QueueLength: 4})
 		scripts := make([]script, rapid.IntRange(1, 8).Draw(t, "scripts"))
 		for index := range scripts {
 			scripts[index] = drawScript(t, index)
 		}
 		runs := map[string]int{}
-		b.engines.serve = func(call *engineCall) { scripts[(len(b.engines.calls)-1)%len(scripts)].run(b, call, runs) }
-		b.claims.delay = time.Duration(rapid.IntRange(0, 700).Draw(t, "claimDelay")) * time.Millisecond
-		b.loop.AfterFunc(time.Duration(rapid.IntRange(0, 900).Draw(t, "warmAt"))*time.Millisecond, func() { b.warm(2, "s1", "s2", "s3") })
-		submitted := submitRandom(t, b)
-		b.loop.RunFor(time.Minute)
+		h.engines.serve = func(call *engineCall) { scripts[(len(h.engines.calls)-1)%len(scripts)].run(h, call, runs) }
+		h.claims.delay = time.Duration(rapid.IntRange(0, 700).Draw(t, "claimDelay")) * time.Millisecond
+		h.loop.AfterFunc(time.Duration(rapid.IntRange(0, 900).Draw(t, "warmAt"))*time.Millisecond, func() { h.warm(2, "s1", "s2", "s3") })
+		submitted := submitRandom(t, h)
+		h.loop.RunFor(time.Minute)
 		for _, request := range submitted {
 			request.check(t, runs)
 		}
-		if open := b.gateway.Stats().Open; open != 0 {
+		if open := h.gateway.Stats().Open; open != 0 {
 			t.Fatalf("%d work items left open", open)
 		}
-		checkReservations(t, b)
+		checkReservations(t, h)
 	})
 }
 
@@ -140,7 +140,7 @@
 	caller  *caller
 }
 
-func submitRandom(t *rapid.T, b *harness) []*submittedRequest {
+func submitRandom(t *rapid.T, h *harness) []*submittedRequest {
 	var submitted []*submittedRequest
 	for index := range rapid.IntRange(1, 12).Draw(t, "requests") {
 		name := strconv.Itoa(index)
@@ -151,13 +151,13 @@
 		priority := rapid.IntRange(0, 9).Draw(t, "priority"+name)
 		entry := &submittedRequest{}
 		submitted = append(submitted, entry)
-		b.loop.AfterFunc(at, func() {
-			request := b.generation(span)
+		h.loop.AfterFunc(at, func() {
+			request := h.generation(span)
 			request.Repeatable, request.Key, request.Priority = repeatable, "key-"+name, priority
 			entry.request = request
-			caller, cancel := b.submit(request)
+			caller, cancel := h.submit(request)
 			entry.caller = caller
-			b.loop.AfterFunc(cancelAt, cancel)
+			h.loop.AfterFunc(cancelAt, cancel)
 		})
 	}
 	return submitted
@@ -192,11 +192,11 @@
 
 // checkReservations fails if requests are left in a group or a reservation at an
 // endpoint was not released.
-func checkReservations(t *rapid.T, b *harness) {
-	for _, group := range b.gateway.Stats().Groups {
+func checkReservations(t *rapid.T, h *harness) {
+	for _, group := range h.gateway.Stats().Groups {
 		t.Fatalf("group %+v is not empty", group)
 	}
-	if capacity := b.gateway.config.Router.Capacity(testModel); capacity.InFlight != 0 {
+	if capacity := h.gateway.config.Router.Capacity(testModel); capacity.InFlight != 0 {
 		t.Fatalf("%d reservations at endpoints were not released", capacity.InFlight)
 	}
 }
--- a/internal/gateway/queue.go
+++ b/internal/gateway/queue.go
@@ -66,6 +66,7 @@
 
 func (f *flow) topPriority() int { return bits.Len16(f.occupied) - 1 }
 
+// head returns the entry to be served next; the flow must not be empty.
 func (f *flow) head() *entry { return f.heaps[f.topPriority()][0] }
 
 // next returns the flow to serve: the one with the highest priority, then the
@@ -84,6 +85,7 @@
 	return best
 }
 
+// before reports whether the flow is to be served before the other one.
 func (f *flow) before(other *flow) bool {
 	if f.topPriority() != other.topPriority() {
 		return f.topPriority() > other.topPriority()
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -28,8 +28,8 @@
 	Prefix []byte
 	// Priority from 0 to 9, higher first.
 	Priority int
-	// Accepted and Deadline are absolute times. Zero means the time of Submit, and
-	// Accepted plus the row's time limit.
+	// Accepted and Deadline are absolute times. A zero Accepted means the time of
+	// Submit; a zero Deadline means Accepted plus the row's time limit.
 	Accepted time.Time
 	Deadline time.Time
 	// Key is the idempotency key; required if not Repeatable.
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -102,6 +102,7 @@
 	s.unlock(section)
 }
 
+// handleTimer performs the action of an item that is due.
 func (s *shard) handleTimer(item *timerItem, section *criticalSection) {
 	switch item.kind {
 	case timerExpiry:
