--- a/internal/claims/acceptor.go
+++ b/internal/claims/acceptor.go
@@ -8,8 +8,8 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// pageEntries bounds the entries of one transfer message.
-const pageEntries = 500
+// maxPageEntries bounds the entries of one transfer message.
+const maxPageEntries = 500
 
 // acceptor holds this node's votes of one shard.
 type acceptor struct {
@@ -19,10 +19,10 @@
 	mutex sync.Mutex
 	// active is the configuration in which this node votes.
 	active ConfigurationID
-	// sealedFor holds the tokens of proposals that ended the voting here.
-	sealedFor map[string]bool
-	// sealedSince is when the first of them did.
-	sealedSince time.Time
+	// sealTokens holds the tokens of proposals that ended the voting here.
+	sealTokens map[string]bool
+	// sealedAt is when the first of them did.
+	sealedAt time.Time
 	// quarantineUntil refuses votes until then.
 	quarantineUntil time.Time
 	entries         map[Key]*KeyRecord
@@ -52,7 +52,7 @@
 	return &acceptor{
 		retention:  retention,
 		maxEntries: maxEntries,
-		sealedFor:  map[string]bool{},
+		sealTokens: map[string]bool{},
 		entries:    map[Key]*KeyRecord{},
 		proposed:   map[string]*proposal{},
 	}
@@ -64,12 +64,12 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.activate(request.Configuration)
-	if a.active != request.Configuration || len(a.sealedFor) > 0 {
+	if a.active != request.Configuration || len(a.sealTokens) > 0 {
 		return VoteReply{Status: VoteWrongEpoch}
 	}
 	a.expire(now)
-	entry, known := a.entries[request.Key]
-	if known {
+	entry, found := a.entries[request.Key]
+	if found {
 		return replyFromEntry(entry, request)
 	}
 	if now.Before(a.quarantineUntil) {
@@ -84,7 +84,7 @@
 		Holders:   []outside.AttemptID{request.Attempt},
 		ClaimedAt: now,
 	})
-	return VoteReply{Status: VoteGiven, Holder: request.Attempt}
+	return VoteReply{Status: VoteGranted, Holder: request.Attempt}
 }
 
 func replyFromEntry(entry *KeyRecord, request VoteRequest) VoteReply {
@@ -96,7 +96,7 @@
 	case entry.Digest != request.Digest:
 		return VoteReply{Status: VoteConflict}
 	case reply.Holder == request.Attempt:
-		reply.Status = VoteGiven
+		reply.Status = VoteGranted
 	}
 	return reply
 }
@@ -107,11 +107,11 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.activate(request.Configuration)
-	if a.active != request.Configuration || len(a.sealedFor) > 0 {
+	if a.active != request.Configuration || len(a.sealTokens) > 0 {
 		return false
 	}
-	entry, known := a.entries[request.Key]
-	if !known {
+	entry, found := a.entries[request.Key]
+	if !found {
 		a.insert(KeyRecord{Key: request.Key, Digest: request.Digest, ClaimedAt: now})
 		entry = a.entries[request.Key]
 	}
@@ -126,8 +126,8 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.activate(request.Configuration)
-	entry, known := a.entries[request.Key]
-	if a.active != request.Configuration || len(a.sealedFor) > 0 || !known {
+	entry, found := a.entries[request.Key]
+	if a.active != request.Configuration || len(a.sealTokens) > 0 || !found {
 		return false
 	}
 	if len(entry.Holders) != 1 || entry.Holders[0] != request.Attempt || entry.Outcome != nil {
@@ -145,14 +145,14 @@
 	if a.active != request.Configuration {
 		return SealReply{}
 	}
-	if len(a.sealedFor) == 0 {
-		a.sealedSince = now
+	if len(a.sealTokens) == 0 {
+		a.sealedAt = now
 	}
-	a.sealedFor[request.Token] = true
+	a.sealTokens[request.Token] = true
 	a.expire(now)
 	all := a.sortedEntries(now)
-	first := min(request.Page*pageEntries, len(all))
-	last := min(first+pageEntries, len(all))
+	first := min(request.Page*maxPageEntries, len(all))
+	last := min(first+maxPageEntries, len(all))
 	return SealReply{OK: true, Entries: all[first:last], More: last < len(all)}
 }
 
@@ -161,16 +161,16 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.active == request.Configuration {
-		delete(a.sealedFor, request.Token)
+		delete(a.sealTokens, request.Token)
 	}
 }
 
 func (a *acceptor) sortedEntries(now time.Time) []KeyRecord {
 	all := make([]KeyRecord, 0, len(a.entries))
 	for _, entry := range a.entries {
-		handed := *entry
-		handed.Age = now.Sub(entry.ClaimedAt)
-		all = append(all, handed)
+		transferred := *entry
+		transferred.Age = now.Sub(entry.ClaimedAt)
+		all = append(all, transferred)
 	}
 	sort.Slice(all, func(i, j int) bool { return lessKey(all[i].Key, all[j].Key) })
 	return all
@@ -190,8 +190,8 @@
 	if request.Configuration.Epoch <= a.active.Epoch {
 		return request.Configuration == a.active
 	}
-	pending, known := a.proposed[request.Configuration.Token]
-	if !known || request.Page == 0 {
+	pending, found := a.proposed[request.Configuration.Token]
+	if !found || request.Page == 0 {
 		pending = &proposal{configuration: request.Configuration, quarantineUntil: request.QuarantineUntil}
 		a.proposed[request.Configuration.Token] = pending
 	}
@@ -213,12 +213,12 @@
 	if committed.Epoch <= a.active.Epoch {
 		return
 	}
-	pending, known := a.proposed[committed.Token]
-	if !known || !pending.complete || pending.configuration != committed {
+	pending, found := a.proposed[committed.Token]
+	if !found || !pending.complete || pending.configuration != committed {
 		return
 	}
 	a.active = committed
-	a.sealedFor = map[string]bool{}
+	a.sealTokens = map[string]bool{}
 	a.quarantineUntil = pending.quarantineUntil
 	a.entries = make(map[Key]*KeyRecord, len(pending.entries))
 	a.expiry = a.expiry[:0]
@@ -231,8 +231,8 @@
 	}
 }
 
-// committed tells the acceptor which configuration the key-value service holds.
-func (a *acceptor) committed(configuration ConfigurationID) {
+// observeCommitted tells the acceptor which configuration the key-value service holds.
+func (a *acceptor) observeCommitted(configuration ConfigurationID) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.activate(configuration)
@@ -249,8 +249,8 @@
 	expired := 0
 	for expired < len(a.expiry) && now.Sub(a.expiry[expired].claimedAt) > a.retention {
 		oldest := a.expiry[expired]
-		entry, known := a.entries[oldest.key]
-		if known && entry.ClaimedAt.Equal(oldest.claimedAt) {
+		entry, found := a.entries[oldest.key]
+		if found && entry.ClaimedAt.Equal(oldest.claimedAt) {
 			delete(a.entries, oldest.key)
 		}
 		expired++
@@ -258,34 +258,34 @@
 	a.expiry = a.expiry[expired:]
 }
 
-// stuck reports whether voting ended in a configuration for so long that the
+// sealTimedOut reports whether voting ended in a configuration for so long that the
 // proposal it was ended for has been given up.
-func (a *acceptor) stuck(configuration ConfigurationID, patience time.Duration, now time.Time) bool {
+func (a *acceptor) sealTimedOut(configuration ConfigurationID, timeout time.Duration, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	sealed := a.active == configuration && len(a.sealedFor) > 0
-	return sealed && now.Sub(a.sealedSince) > patience
+	sealed := a.active == configuration && len(a.sealTokens) > 0
+	return sealed && now.Sub(a.sealedAt) > timeout
 }
 
-// ahead reports whether this acceptor votes in a configuration newer than the
+// aheadOf reports whether this acceptor votes in a configuration newer than the
 // known one, or was handed one that may still be committed. The latter is ruled
 // out once the key-value service was read proposalPatience after the handover.
-func (a *acceptor) ahead(known uint64, readAt time.Time) bool {
+func (a *acceptor) aheadOf(epoch uint64, readStartedAt time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if a.active.Epoch > known {
+	if a.active.Epoch > epoch {
 		return true
 	}
 	for _, pending := range a.proposed {
-		if pending.configuration.Epoch > known && readAt.Sub(pending.installedAt) < proposalPatience {
+		if pending.configuration.Epoch > epoch && readStartedAt.Sub(pending.installedAt) < proposalTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// size returns the number of keys held.
-func (a *acceptor) size() int {
+// keyCount returns the number of keys held.
+func (a *acceptor) keyCount() int {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return len(a.entries)
--- a/internal/claims/claims_suite_test.go
+++ b/internal/claims/claims_suite_test.go
@@ -40,8 +40,8 @@
 	member  membership.Member
 	cluster *testCluster
 	// view of the members, the newest of the numbered ones; nil: the cluster's.
-	view   []membership.Member
-	viewed int
+	view        []membership.Member
+	viewVersion int
 }
 
 func (n *testNode) Self() membership.Member { return n.member }
@@ -88,17 +88,17 @@
 func (c *testCluster) kill(name string) {
 	c.nodes[name].process.Kill()
 	delete(c.nodes, name)
-	c.loop.AfterFunc(5*time.Second, func() { c.forget(name) })
+	c.loop.AfterFunc(5*time.Second, func() { c.removeMember(name) })
 }
 
-func (c *testCluster) forget(name string) {
-	var left []membership.Member
+func (c *testCluster) removeMember(name string) {
+	var remaining []membership.Member
 	for _, member := range c.members {
 		if member.Name != name {
-			left = append(left, member)
+			remaining = append(remaining, member)
 		}
 	}
-	c.members = left
+	c.members = remaining
 }
 
 // claim starts a claim at a node and counts a grant as a run.
@@ -113,11 +113,11 @@
 	})
 }
 
-// await runs the loop until a claim has ended.
-func (c *testCluster) await(node string, key Key, attempt string) Result {
-	var got *Result
-	c.claim(node, key, attempt, 5*time.Second, func(result Result) { got = &result })
+// claimAndWait runs the loop until a claim has ended.
+func (c *testCluster) claimAndWait(node string, key Key, attempt string) Result {
+	var claimed *Result
+	c.claim(node, key, attempt, 5*time.Second, func(result Result) { claimed = &result })
 	c.loop.RunFor(6 * time.Second)
-	Expect(got).NotTo(BeNil(), "the claim never ended")
-	return *got
+	Expect(claimed).NotTo(BeNil(), "the claim never ended")
+	return *claimed
 }
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -16,10 +16,10 @@
 
 	It("grants a key once and returns the recorded outcome afterwards", func() {
 		cluster := newTestCluster(1, 3)
-		Expect(cluster.await("node-0", key, "a").Verdict).To(Equal(Granted))
+		Expect(cluster.claimAndWait("node-0", key, "a").Verdict).To(Equal(Granted))
 		cluster.nodes["node-0"].set.Record(key, "a", Outcome{Status: 200, Body: []byte("seat")})
 		cluster.loop.RunFor(time.Second)
-		again := cluster.await("node-1", key, "b")
+		again := cluster.claimAndWait("node-1", key, "b")
 		Expect(again.Verdict).To(Equal(Denied))
 		Expect(again.Outcome).NotTo(BeNil())
 		Expect(string(again.Outcome.Body)).To(Equal("seat"))
@@ -27,7 +27,7 @@
 
 	It("tells a key that was used for another request", func() {
 		cluster := newTestCluster(2, 3)
-		cluster.await("node-0", key, "a")
+		cluster.claimAndWait("node-0", key, "a")
 		var verdict Verdict
 		deadline := cluster.loop.Now().Add(time.Second)
 		cluster.nodes["node-1"].set.Claim(key, "b", 8, deadline, func(result Result) { verdict = result.Verdict })
@@ -37,18 +37,18 @@
 
 	It("gives a released key to the next attempt", func() {
 		cluster := newTestCluster(3, 3)
-		cluster.await("node-0", key, "a")
+		cluster.claimAndWait("node-0", key, "a")
 		cluster.nodes["node-0"].set.Release(key, "a")
 		cluster.loop.RunFor(time.Second)
-		Expect(cluster.await("node-1", key, "b").Verdict).To(Equal(Granted))
+		Expect(cluster.claimAndWait("node-1", key, "b").Verdict).To(Equal(Granted))
 	})
 
 	DescribeTable("keeps a claim through", func(fault func(*testCluster)) {
 		cluster := newTestCluster(4, 5)
-		Expect(cluster.await("node-0", key, "a").Verdict).To(Equal(Granted))
+		Expect(cluster.claimAndWait("node-0", key, "a").Verdict).To(Equal(Granted))
 		fault(cluster)
 		for name := range cluster.nodes {
-			result := cluster.await(name, key, "later-"+name)
+			result := cluster.claimAndWait(name, key, "later-"+name)
 			Expect(result.Verdict).NotTo(Equal(Granted))
 		}
 		Expect(cluster.runs[key]).To(Equal(1))
@@ -90,7 +90,7 @@
 				}
 			}
 			c.loop.RunFor(30 * time.Second)
-			for _, name := range c.names() {
+			for _, name := range c.liveNames() {
 				c.kill(name)
 			}
 			c.loop.RunFor(10 * time.Second)
@@ -120,24 +120,24 @@
 		cluster.loop.RunFor(20 * time.Second)
 		for i := range 20 {
 			fresh := Key{Tenant: "beta", Value: fmt.Sprint(i)}
-			Expect(cluster.await("node-0", fresh, fmt.Sprint("x", i)).Verdict).To(Equal(Granted))
+			Expect(cluster.claimAndWait("node-0", fresh, fmt.Sprint("x", i)).Verdict).To(Equal(Granted))
 		}
 	})
 
 	It("refuses old and new keys in quarantine after a majority was lost", func() {
 		cluster := newTestCluster(6, 3)
-		Expect(cluster.await("node-0", key, "a").Verdict).To(Equal(Granted))
+		Expect(cluster.claimAndWait("node-0", key, "a").Verdict).To(Equal(Granted))
 		cluster.kill("node-1")
 		cluster.kill("node-2")
 		cluster.loop.RunFor(3 * time.Minute)
-		Expect(cluster.await("node-0", Key{Tenant: "alpha", Value: "fresh"}, "b").Verdict).To(Equal(Unavailable))
+		Expect(cluster.claimAndWait("node-0", Key{Tenant: "alpha", Value: "fresh"}, "b").Verdict).To(Equal(Unavailable))
 		cluster.loop.RunFor(DefaultQuarantine)
-		Expect(cluster.await("node-0", Key{Tenant: "alpha", Value: "fresh"}, "c").Verdict).To(Equal(Granted))
+		Expect(cluster.claimAndWait("node-0", Key{Tenant: "alpha", Value: "fresh"}, "c").Verdict).To(Equal(Granted))
 	})
 
 	It("rests in the key-value service when the last node stops", func() {
 		cluster := newTestCluster(7, 1)
-		Expect(cluster.await("node-0", key, "a").Verdict).To(Equal(Granted))
+		Expect(cluster.claimAndWait("node-0", key, "a").Verdict).To(Equal(Granted))
 		node := cluster.nodes["node-0"]
 		node.member.Draining = true
 		cluster.members[0].Draining = true
@@ -147,7 +147,7 @@
 		cluster.loop.RunFor(10 * time.Second)
 		cluster.start("node-9", "zone-0", 2)
 		cluster.loop.RunFor(30 * time.Second)
-		Expect(cluster.await("node-9", key, "b").Verdict).To(Equal(Denied))
+		Expect(cluster.claimAndWait("node-9", key, "b").Verdict).To(Equal(Denied))
 	})
 
 	It("lets a shard go on that was sealed for a proposal given up", func() {
@@ -157,15 +157,15 @@
 		for _, node := range cluster.nodes {
 			node.set.acceptors[shard].seal(SealRequest{Configuration: configuration.id(shard), Token: "given-up"}, node.process.Now())
 		}
-		Expect(cluster.await("node-0", key, "a").Verdict).To(Equal(Unavailable))
+		Expect(cluster.claimAndWait("node-0", key, "a").Verdict).To(Equal(Unavailable))
 		cluster.loop.RunFor(30 * time.Second)
-		Expect(cluster.await("node-0", key, "b").Verdict).To(Equal(Granted))
+		Expect(cluster.claimAndWait("node-0", key, "b").Verdict).To(Equal(Granted))
 	})
 
 	It("grants a key once when all nodes race for it", func() {
 		for seed := range uint64(30) {
 			cluster := newTestCluster(seed, 5)
-			cluster.claimEverywhere(key, 0)
+			cluster.claimFromAllNodes(key, 0)
 			cluster.loop.RunFor(10 * time.Second)
 			Expect(cluster.runs[key]).To(Equal(1), "seed %d", seed)
 		}
@@ -174,12 +174,12 @@
 	It("does not repair a shard from less than a seal quorum", func() {
 		for seed := range uint64(20) {
 			cluster := newTestCluster(seed, 5)
-			Expect(cluster.await("node-0", key, "a").Verdict).To(Equal(Granted))
-			cluster.cutOffHolders(key)
+			Expect(cluster.claimAndWait("node-0", key, "a").Verdict).To(Equal(Granted))
+			cluster.isolateAcceptors(key)
 			cluster.loop.RunFor(20 * time.Second)
 			cluster.network.Cut = func(string, string) bool { return false }
-			for _, name := range cluster.names() {
-				Expect(cluster.await(name, key, "later-"+name).Verdict).NotTo(Equal(Granted), "seed %d", seed)
+			for _, name := range cluster.liveNames() {
+				Expect(cluster.claimAndWait(name, key, "later-"+name).Verdict).NotTo(Equal(Granted), "seed %d", seed)
 			}
 		}
 	})
@@ -203,7 +203,7 @@
 	random := cluster.loop.Random()
 	started := 0
 	for step := range rapid.IntRange(10, 40).Draw(t, "steps") {
-		names := cluster.names()
+		names := cluster.liveNames()
 		node := names[random.IntN(len(names))]
 		switch random.IntN(10) {
 		case 0:
@@ -218,8 +218,8 @@
 			process.Pause()
 			cluster.loop.AfterFunc(20*time.Second, process.Resume)
 		case 4:
-			cut := names[random.IntN(len(names))]
-			cluster.network.Cut = func(from, to string) bool { return from == cut || to == cut }
+			isolated := names[random.IntN(len(names))]
+			cluster.network.Cut = func(from, to string) bool { return from == isolated || to == isolated }
 			cluster.loop.AfterFunc(15*time.Second, func() { cluster.network.Cut = func(string, string) bool { return false } })
 		case 3:
 			cluster.store.SetFaults(keyvalue.Faults{LostReplies: random.Float64(), Outage: random.IntN(3) == 0})
@@ -227,28 +227,28 @@
 			cluster.store.SetFaults(keyvalue.Faults{})
 		default:
 			key := Key{Tenant: "alpha", Value: fmt.Sprint(random.IntN(4))}
-			cluster.claimEverywhere(key, step)
+			cluster.claimFromAllNodes(key, step)
 		}
 		cluster.loop.RunFor(time.Duration(random.IntN(6000)) * time.Millisecond)
 	}
 	cluster.loop.RunFor(time.Minute)
 }
 
-// cutOffHolders leaves one acceptor of the key's shard reachable and makes it
+// isolateAcceptors leaves one acceptor of the key's shard reachable and makes it
 // seem that another has left, so that the others try a repair.
-func (c *testCluster) cutOffHolders(key Key) {
+func (c *testCluster) isolateAcceptors(key Key) {
 	shard := shardOf(key, 4)
 	configuration, _ := c.nodes["node-0"].set.configurations.get(shard)
-	hidden := map[string]bool{configuration.Acceptors[0].Name: true, configuration.Acceptors[1].Name: true}
-	c.network.Cut = func(from, to string) bool { return hidden[from] || hidden[to] }
-	all := c.members
-	c.forget(configuration.Acceptors[0].Name)
-	c.loop.AfterFunc(19*time.Second, func() { c.members = all })
+	isolated := map[string]bool{configuration.Acceptors[0].Name: true, configuration.Acceptors[1].Name: true}
+	c.network.Cut = func(from, to string) bool { return isolated[from] || isolated[to] }
+	members := c.members
+	c.removeMember(configuration.Acceptors[0].Name)
+	c.loop.AfterFunc(19*time.Second, func() { c.members = members })
 }
 
-// claimEverywhere lets all nodes race for a key within a few milliseconds.
-func (c *testCluster) claimEverywhere(key Key, step int) {
-	for _, name := range c.names() {
+// claimFromAllNodes lets all nodes race for a key within a few milliseconds.
+func (c *testCluster) claimFromAllNodes(key Key, step int) {
+	for _, name := range c.liveNames() {
 		process := c.nodes[name].process
 		delay := time.Duration(c.loop.Random().IntN(3000)) * time.Microsecond
 		process.AfterFunc(delay, func() {
@@ -257,7 +257,7 @@
 	}
 }
 
-func (c *testCluster) names() []string {
+func (c *testCluster) liveNames() []string {
 	var names []string
 	for _, member := range c.members {
 		if _, alive := c.nodes[member.Name]; alive {
--- a/internal/claims/claimset.go
+++ b/internal/claims/claimset.go
@@ -69,7 +69,7 @@
 	randomMutex sync.Mutex
 
 	configurations *configurationCache
-	granted        *grantedHolders
+	granted        *grantedRounds
 
 	reconfigurationMutex sync.Mutex
 	reconfigurations     []reconfigurationState
@@ -85,7 +85,7 @@
 	config = config.withDefaults()
 	set := &ClaimSet{
 		config:           config,
-		granted:          newGrantedHolders(),
+		granted:          newGrantedRounds(),
 		reconfigurations: make([]reconfigurationState, config.Shards),
 	}
 	for range config.Shards {
@@ -116,8 +116,8 @@
 func (s *ClaimSet) IsAcceptor() bool {
 	self := s.config.Members.Self().ID()
 	for shard := range s.config.Shards {
-		current, known := s.configurations.get(shard)
-		if known && current.has(self) || s.acceptorAhead(shard) {
+		current, cached := s.configurations.get(shard)
+		if cached && current.has(self) || s.acceptorAhead(shard) {
 			return true
 		}
 	}
@@ -129,7 +129,7 @@
 func (s *ClaimSet) acceptorAhead(shard int) bool {
 	// One that is not known has epoch 0, before all others.
 	current, _ := s.configurations.get(shard)
-	return s.acceptors[shard].ahead(current.Epoch, s.configurations.lastRead())
+	return s.acceptors[shard].aheadOf(current.Epoch, s.configurations.lastRead())
 }
 
 // install refuses proposals while the node is being stopped: one made from an
@@ -142,7 +142,7 @@
 func (s *ClaimSet) Keys() int {
 	total := 0
 	for _, acceptor := range s.acceptors {
-		total += acceptor.size()
+		total += acceptor.keyCount()
 	}
 	return total
 }
@@ -152,45 +152,45 @@
 	transport := s.config.Transport
 	transport.Handle(VoteRequest{}, func(_ string, message peer.Message, reply func(peer.Message, error)) {
 		request := message.(VoteRequest)
-		s.answer(request.Configuration, reply, func(a *acceptor) peer.Message {
+		s.dispatch(request.Configuration, reply, func(a *acceptor) peer.Message {
 			return a.vote(request, s.config.Clock.Now())
 		})
 	})
 	transport.Handle(RecordRequest{}, func(_ string, message peer.Message, reply func(peer.Message, error)) {
 		request := message.(RecordRequest)
-		s.answer(request.Configuration, reply, func(a *acceptor) peer.Message {
+		s.dispatch(request.Configuration, reply, func(a *acceptor) peer.Message {
 			return Acknowledgement{OK: a.record(request, s.config.Clock.Now())}
 		})
 	})
 	transport.Handle(ReleaseRequest{}, func(_ string, message peer.Message, reply func(peer.Message, error)) {
 		request := message.(ReleaseRequest)
-		s.answer(request.Configuration, reply, func(a *acceptor) peer.Message {
+		s.dispatch(request.Configuration, reply, func(a *acceptor) peer.Message {
 			return Acknowledgement{OK: a.release(request)}
 		})
 	})
 	transport.Handle(SealRequest{}, func(_ string, message peer.Message, reply func(peer.Message, error)) {
 		request := message.(SealRequest)
-		s.answer(request.Configuration, reply, func(a *acceptor) peer.Message {
+		s.dispatch(request.Configuration, reply, func(a *acceptor) peer.Message {
 			return a.seal(request, s.config.Clock.Now())
 		})
 	})
 	transport.Handle(UnsealRequest{}, func(_ string, message peer.Message, reply func(peer.Message, error)) {
 		request := message.(UnsealRequest)
-		s.answer(request.Configuration, reply, func(a *acceptor) peer.Message {
+		s.dispatch(request.Configuration, reply, func(a *acceptor) peer.Message {
 			a.unseal(request)
 			return Acknowledgement{OK: true}
 		})
 	})
 	transport.Handle(InstallRequest{}, func(_ string, message peer.Message, reply func(peer.Message, error)) {
 		request := message.(InstallRequest)
-		s.answer(request.Configuration, reply, func(a *acceptor) peer.Message {
+		s.dispatch(request.Configuration, reply, func(a *acceptor) peer.Message {
 			return Acknowledgement{OK: s.install(a, request)}
 		})
 	})
 }
 
-// answer runs a handler on the acceptor of the shard, if there is such a shard.
-func (s *ClaimSet) answer(id ConfigurationID, reply func(peer.Message, error), handle func(*acceptor) peer.Message) {
+// dispatch runs a handler on the acceptor of the shard, if there is such a shard.
+func (s *ClaimSet) dispatch(id ConfigurationID, reply func(peer.Message, error), handle func(*acceptor) peer.Message) {
 	if id.Shard < 0 || id.Shard >= len(s.acceptors) {
 		reply(nil, errNoSuchShard)
 		return
--- a/internal/claims/configuration.go
+++ b/internal/claims/configuration.go
@@ -19,8 +19,8 @@
 // number is taken: an even one stands no more losses.
 const AcceptorsPerShard = 5
 
-// acceptorsAmong returns how many acceptors a shard has among so many nodes.
-func acceptorsAmong(nodes int) int {
+// acceptorCount returns how many acceptors a shard has among so many nodes.
+func acceptorCount(nodes int) int {
 	count := min(nodes, AcceptorsPerShard)
 	if count > 0 && count%2 == 0 {
 		count--
@@ -128,7 +128,7 @@
 // rank, from zones that have none yet where possible.
 func chooseAcceptors(shard int, current []membership.Member, members []membership.Member) []membership.Member {
 	candidates := rank(shard, withoutDraining(members))
-	wanted := acceptorsAmong(len(candidates))
+	wanted := acceptorCount(len(candidates))
 	var chosen []membership.Member
 	for _, candidate := range candidates {
 		kept := slices.ContainsFunc(current, func(m membership.Member) bool { return m.ID() == candidate.ID() })
@@ -136,13 +136,13 @@
 			chosen = append(chosen, candidate)
 		}
 	}
-	chosen = fill(chosen, candidates, wanted, true)
-	chosen = fill(chosen, candidates, wanted, false)
+	chosen = addAcceptors(chosen, candidates, wanted, true)
+	chosen = addAcceptors(chosen, candidates, wanted, false)
 	slices.SortFunc(chosen, func(a, b membership.Member) int { return strings.Compare(a.ID(), b.ID()) })
 	return chosen
 }
 
-func fill(chosen, candidates []membership.Member, wanted int, newZoneOnly bool) []membership.Member {
+func addAcceptors(chosen, candidates []membership.Member, wanted int, newZoneOnly bool) []membership.Member {
 	for _, candidate := range candidates {
 		if len(chosen) >= wanted {
 			break
--- a/internal/claims/configurationcache.go
+++ b/internal/claims/configurationcache.go
@@ -10,17 +10,17 @@
 
 var errNoSuchShard = errors.New("no such claim shard")
 
-// rereadDelay is the mean pause before configurations are read again; it
-// doubles with each failure up to maxRereadDelay, so that an outage is not
+// minReadBackoff is the mean pause before configurations are read again; it
+// doubles with each failure up to maxReadBackoff, so that an outage is not
 // answered by all nodes' reading.
 const (
-	rereadDelay    = 500 * time.Millisecond
-	maxRereadDelay = 16 * time.Second
+	minReadBackoff = 500 * time.Millisecond
+	maxReadBackoff = 16 * time.Second
 )
 
-// rereadPause is the mean pause after a number of failed readings.
-func rereadPause(failures int) time.Duration {
-	return min(rereadDelay<<min(failures, 10), maxRereadDelay)
+// readBackoff is the mean pause after a number of failed readings.
+func readBackoff(failures int) time.Duration {
+	return min(minReadBackoff<<min(failures, 10), maxReadBackoff)
 }
 
 // keyValueTimeout bounds one call to the key-value service.
@@ -32,23 +32,23 @@
 	set *ClaimSet
 
 	mutex  sync.Mutex
-	known  []knownConfiguration
+	cached []cachedConfiguration
 	loaded bool
-	// readAt is when the newest complete reading began; zero: none.
-	readAt  time.Time
-	stopped bool
+	// readStartedAt is when the newest complete reading began; zero: none.
+	readStartedAt time.Time
+	stopped       bool
 	// failures to read since the newest reading.
 	failures int
 	unwatch  func()
 }
 
-type knownConfiguration struct {
+type cachedConfiguration struct {
 	configuration Configuration
 	exists        bool
 }
 
 func newConfigurationCache(set *ClaimSet, shards int) *configurationCache {
-	return &configurationCache{set: set, known: make([]knownConfiguration, shards)}
+	return &configurationCache{set: set, cached: make([]cachedConfiguration, shards)}
 }
 
 func (c *configurationCache) start() { c.read() }
@@ -66,8 +66,8 @@
 func (c *configurationCache) get(shard int) (Configuration, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known := c.known[shard]
-	return known.configuration, known.exists
+	entry := c.cached[shard]
+	return entry.configuration, entry.exists
 }
 
 // isLoaded reports whether the configurations were read at least once.
@@ -77,22 +77,22 @@
 	return c.loaded
 }
 
-// learn takes a configuration seen in the key-value service.
-func (c *configurationCache) learn(shard int, configuration Configuration) {
+// observe takes a configuration seen in the key-value service.
+func (c *configurationCache) observe(shard int, configuration Configuration) {
 	if !c.store(shard, configuration) {
 		return
 	}
-	c.set.acceptors[shard].committed(configuration.id(shard))
+	c.set.acceptors[shard].observeCommitted(configuration.id(shard))
 }
 
 func (c *configurationCache) store(shard int, configuration Configuration) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known := &c.known[shard]
-	if known.exists && known.configuration.Epoch >= configuration.Epoch {
+	entry := &c.cached[shard]
+	if entry.exists && entry.configuration.Epoch >= configuration.Epoch {
 		return false
 	}
-	*known = knownConfiguration{configuration: configuration, exists: true}
+	*entry = cachedConfiguration{configuration: configuration, exists: true}
 	return true
 }
 
@@ -103,7 +103,7 @@
 	}
 	c.readAll(func(revision int64, err error) {
 		if err != nil {
-			c.readLater()
+			c.scheduleRead()
 			return
 		}
 		c.watch(revision)
@@ -121,13 +121,13 @@
 }
 
 func (c *configurationCache) readAll(done func(revision int64, err error)) {
-	began := c.set.config.Clock.Now()
+	startedAt := c.set.config.Clock.Now()
 	c.set.config.KeyValues.Range(configurationPrefix, keyValueTimeout, func(result outside.RangeResult, err error) {
 		if err == nil {
 			for _, pair := range result.KeyValues {
-				c.learnPair(pair)
+				c.observePair(pair)
 			}
-			c.succeeded(began)
+			c.recordRead(startedAt)
 		}
 		done(result.Revision, err)
 	})
@@ -137,23 +137,23 @@
 func (c *configurationCache) lastRead() time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.readAt
+	return c.readStartedAt
 }
 
-func (c *configurationCache) readLater() {
+func (c *configurationCache) scheduleRead() {
 	c.mutex.Lock()
-	pause := rereadPause(c.failures)
+	pause := readBackoff(c.failures)
 	c.failures++
 	c.mutex.Unlock()
 	c.set.config.Clock.AfterFunc(c.set.jitter(pause), c.read)
 }
 
-func (c *configurationCache) succeeded(began time.Time) {
+func (c *configurationCache) recordRead(startedAt time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.failures = 0
-	if began.After(c.readAt) {
-		c.readAt = began
+	if startedAt.After(c.readStartedAt) {
+		c.readStartedAt = startedAt
 	}
 }
 
@@ -177,17 +177,17 @@
 func (c *configurationCache) Events(_ int64, events []outside.WatchEvent) {
 	for _, event := range events {
 		if !event.Deleted {
-			c.learnPair(event.KeyValue)
+			c.observePair(event.KeyValue)
 		}
 	}
 }
 
 // Lost implements outside.WatchHandler.
-func (c *configurationCache) Lost(error) { c.readLater() }
+func (c *configurationCache) Lost(error) { c.scheduleRead() }
 
-func (c *configurationCache) learnPair(pair outside.KeyValue) {
+func (c *configurationCache) observePair(pair outside.KeyValue) {
 	shard, ok := shardOfConfigurationKey(pair.Key)
-	if !ok || shard >= len(c.known) {
+	if !ok || shard >= len(c.cached) {
 		return
 	}
 	configuration, err := decodeConfiguration(pair.Value)
@@ -195,5 +195,5 @@
 		c.set.config.Logger.Error().Err(err).Str("key", pair.Key).Msg("claim configuration can't be read")
 		return
 	}
-	c.learn(shard, configuration)
+	c.observe(shard, configuration)
 }
--- a/internal/claims/live.go
+++ b/internal/claims/livemembers.go
@@ -24,10 +24,10 @@
 	}
 }
 
-// keeps reports whether chooseAcceptors would choose the current acceptors
+// retainsAcceptors reports whether chooseAcceptors would choose the current acceptors
 // again: they are as many as wanted, live, and not draining.
-func (l *liveMembers) keeps(current Configuration) bool {
-	if len(current.Acceptors) != acceptorsAmong(len(l.incarnations)) {
+func (l *liveMembers) retainsAcceptors(current Configuration) bool {
+	if len(current.Acceptors) != acceptorCount(len(l.incarnations)) {
 		return false
 	}
 	for _, acceptor := range current.Acceptors {
--- a/internal/claims/live_test.go
+++ b/internal/claims/livemembers_test.go
@@ -21,8 +21,8 @@
 	return members
 }
 
-// TestKeeps compares the index with the choice over all members.
-func TestKeeps(t *testing.T) {
+// TestRetainsAcceptors compares the index with the choice over all members.
+func TestRetainsAcceptors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before, after := drawMembers(t), drawMembers(t)
 		if rapid.Bool().Draw(t, "unchanged") {
@@ -32,9 +32,9 @@
 		var live liveMembers
 		live.update(before)
 		live.update(after)
-		kept := live.keeps(current)
-		if changes := needsChange(current, chooseAcceptors(1, current.Acceptors, after)); kept == changes {
-			t.Fatalf("kept %v, needs change %v: %v among %v", kept, changes, current.Acceptors, after)
+		retained := live.retainsAcceptors(current)
+		if changes := needsChange(current, chooseAcceptors(1, current.Acceptors, after)); retained == changes {
+			t.Fatalf("kept %v, needs change %v: %v among %v", retained, changes, current.Acceptors, after)
 		}
 	})
 }
@@ -63,23 +63,23 @@
 		for b.Loop() {
 			index.update(members)
 			for shard := range shards {
-				index.keeps(configurations[shard])
+				index.retainsAcceptors(configurations[shard])
 			}
 		}
 	})
 }
 
-// TestRereadPause checks that the pauses grow to a bound.
-func TestRereadPause(t *testing.T) {
+// TestReadBackoff checks that the pauses grow to a bound.
+func TestReadBackoff(t *testing.T) {
 	total := time.Duration(0)
 	for failures := range 100 {
-		pause := rereadPause(failures)
-		if pause < rereadDelay || pause > maxRereadDelay {
+		pause := readBackoff(failures)
+		if pause < minReadBackoff || pause > maxReadBackoff {
 			t.Fatalf("pause %s after %d failures", pause, failures)
 		}
 		total += pause
 	}
-	if total < 90*maxRereadDelay {
+	if total < 90*maxReadBackoff {
 		t.Errorf("100 failed readings take only %s", total)
 	}
 }
--- a/internal/claims/merge.go
+++ b/internal/claims/merge.go
@@ -11,16 +11,16 @@
 	entry     KeyRecord
 	votes     map[outside.AttemptID]int
 	contested bool
-	// recorded is the holder whose outcome is known.
-	recorded outside.AttemptID
+	// recordedBy is the holder whose outcome is known.
+	recordedBy outside.AttemptID
 }
 
 // mergeEntries unites the entries of sealed acceptors, in order of key. A key
 // whose winner can't be told stays contested: it keeps all its holders, and no
 // new attempt wins it.
-func mergeEntries(complete [][]KeyRecord, configuration Configuration) []KeyRecord {
+func mergeEntries(collected [][]KeyRecord, configuration Configuration) []KeyRecord {
 	tallies := map[Key]*keyTally{}
-	for _, entries := range complete {
+	for _, entries := range collected {
 		for _, entry := range entries {
 			tally, seen := tallies[entry.Key]
 			if !seen {
@@ -30,25 +30,25 @@
 			tally.add(entry)
 		}
 	}
-	united := make([]KeyRecord, 0, len(tallies))
+	merged := make([]KeyRecord, 0, len(tallies))
 	for _, tally := range tallies {
-		tally.entry.Holders = tally.settle(configuration.writeQuorum())
-		united = append(united, tally.entry)
+		tally.entry.Holders = tally.resolveHolders(configuration.writeQuorum())
+		merged = append(merged, tally.entry)
 	}
-	slices.SortFunc(united, func(a, b KeyRecord) int {
+	slices.SortFunc(merged, func(a, b KeyRecord) int {
 		if lessKey(a.Key, b.Key) {
 			return -1
 		}
 		return 1
 	})
-	return united
+	return merged
 }
 
 func (t *keyTally) add(entry KeyRecord) {
 	t.entry.Age = max(t.entry.Age, entry.Age)
 	if entry.Outcome != nil && len(entry.Holders) == 1 {
 		t.entry.Outcome = entry.Outcome
-		t.recorded = entry.Holders[0]
+		t.recordedBy = entry.Holders[0]
 	}
 	t.contested = t.contested || len(entry.Holders) > 1
 	for _, holder := range entry.Holders {
@@ -56,10 +56,10 @@
 	}
 }
 
-// settle returns the winner if it is certain, else all that may have won.
-func (t *keyTally) settle(writeQuorum int) []outside.AttemptID {
-	if t.recorded != "" {
-		return []outside.AttemptID{t.recorded}
+// resolveHolders returns the winner if it is certain, else all that may have won.
+func (t *keyTally) resolveHolders(writeQuorum int) []outside.AttemptID {
+	if t.recordedBy != "" {
+		return []outside.AttemptID{t.recordedBy}
 	}
 	holders := make([]outside.AttemptID, 0, len(t.votes))
 	for holder, votes := range t.votes {
--- a/internal/claims/messages.go
+++ b/internal/claims/messages.go
@@ -12,8 +12,8 @@
 
 // The answers of an acceptor.
 const (
-	// VoteGiven: the acceptor records the key for the attempt.
-	VoteGiven VoteStatus = iota
+	// VoteGranted: the acceptor records the key for the attempt.
+	VoteGranted VoteStatus = iota
 	// VoteHeld: another attempt came first, or the key is contested.
 	VoteHeld
 	// VoteConflict: the key is held for a request with another digest.
--- a/internal/claims/planned_stop_test.go
+++ b/internal/claims/planned_shutdown_test.go
@@ -23,7 +23,7 @@
 	It("waits while a configuration that names the node may be committed", func() {
 		cluster := newTestCluster(9, 0)
 		node := cluster.start("node-0", "zone-0", 1)
-		for !cluster.committedNames(0, node.member) {
+		for !cluster.storedConfigurationHas(0, node.member) {
 			cluster.loop.RunFor(100 * time.Microsecond)
 		}
 		_, known := node.set.configurations.get(0)
@@ -61,19 +61,19 @@
 		Expect(cluster.install(node, abandoned)).To(Equal(Acknowledgement{OK: true}))
 		node.member.Draining = true
 		cluster.members = []membership.Member{node.member, cluster.nodes["node-1"].member}
-		cluster.loop.RunFor(2 * proposalPatience)
+		cluster.loop.RunFor(2 * proposalTimeout)
 		Expect(node.set.IsAcceptor()).To(BeFalse())
 	})
 
 	// Guards against both failures that a rolling restart could bring: a key that runs twice,
 	// and a shard that has lost its votes.
 	It("loses no votes and runs no key twice, whatever else happens", func() {
-		rapid.Check(GinkgoT(), func(t *rapid.T) { newRollingRestart(t).play(t) })
+		rapid.Check(GinkgoT(), func(t *rapid.T) { newRollingRestart(t).run(t) })
 	})
 })
 
-// committedNames reports whether the store's record of the shard names the member.
-func (c *testCluster) committedNames(shard int, member membership.Member) bool {
+// storedConfigurationHas reports whether the store's record of the shard names the member.
+func (c *testCluster) storedConfigurationHas(shard int, member membership.Member) bool {
 	record := c.store.Range(configurationKey(shard))
 	if len(record.KeyValues) == 0 {
 		return false
@@ -85,8 +85,8 @@
 // install hands a proposal to a node and returns its answer.
 func (c *testCluster) install(node *testNode, request InstallRequest) any {
 	var answer any
-	sender := c.peers.Transport(simulation.NewProcess(c.loop, "proposer"))
-	sender.Call(node.member.PeerAddress, request, time.Second, func(message peer.Message, _ error) { answer = message })
+	proposer := c.peers.Transport(simulation.NewProcess(c.loop, "proposer"))
+	proposer.Call(node.member.PeerAddress, request, time.Second, func(message peer.Message, _ error) { answer = message })
 	c.loop.RunFor(time.Second)
 	return answer
 }
@@ -95,32 +95,32 @@
 // network fail. Nodes learn of each other's state with a delay.
 type rollingRestart struct {
 	*testCluster
-	random  *rand.Rand
-	started int
-	claimed int
-	// announced counts the changes of the members.
-	announced int
-	// longestLag is how late a node's view of the members may be.
-	longestLag time.Duration
-	// overdue: a node left after longestHandover, as a process does that can't hand over.
-	overdue bool
+	random     *rand.Rand
+	started    int
+	claimCount int
+	// memberVersion counts the changes of the members.
+	memberVersion int
+	// maxLag is how late a node's view of the members may be.
+	maxLag time.Duration
+	// handoverTimedOut: a node left after longestHandover, as a process does that can't hand over.
+	handoverTimedOut bool
 }
 
 const (
-	// longestHandover is how long a stopping node waits at most.
-	longestHandover = 2 * time.Minute
-	handoverPeriod  = 200 * time.Millisecond
+	// maxHandover is how long a stopping node waits at most.
+	maxHandover          = 2 * time.Minute
+	handoverPollInterval = 200 * time.Millisecond
 )
 
 func newRollingRestart(t *rapid.T) *rollingRestart {
 	cluster := newTestCluster(rapid.Uint64().Draw(t, "seed"), 0)
 	return &rollingRestart{
 		testCluster: cluster, random: cluster.loop.Fork(),
-		longestLag: rapid.SampledFrom([]time.Duration{time.Millisecond, 3 * time.Second, 10 * time.Second}).Draw(t, "lag"),
+		maxLag: rapid.SampledFrom([]time.Duration{time.Millisecond, 3 * time.Second, 10 * time.Second}).Draw(t, "lag"),
 	}
 }
 
-func (r *rollingRestart) play(t *rapid.T) {
+func (r *rollingRestart) run(t *rapid.T) {
 	for range rapid.IntRange(1, 3).Draw(t, "nodes") {
 		r.startNext()
 	}
@@ -128,34 +128,34 @@
 	for range rapid.IntRange(10, 40).Draw(t, "steps") {
 		r.step()
 	}
-	r.recover()
+	r.stabilise()
 	for key, runs := range r.runs {
 		if runs > 1 {
 			t.Fatalf("key %v ran %d times", key, runs)
 		}
 	}
-	if !r.overdue {
-		r.checkVotes(t)
+	if !r.handoverTimedOut {
+		r.checkNewKeysGranted(t)
 	}
 }
 
-// recover ends all faults, lets the stops end and starts one more node.
-func (r *rollingRestart) recover() {
+// stabilise ends all faults, lets the stops end and starts one more node.
+func (r *rollingRestart) stabilise() {
 	r.network.ConditionsOf = func(string, string) simulation.Conditions {
 		return simulation.Conditions{Delay: simulation.DefaultDelay}
 	}
 	r.store.SetFaults(keyvalue.Faults{})
-	r.loop.RunFor(longestHandover + 30*time.Second)
+	r.loop.RunFor(maxHandover + 30*time.Second)
 	r.startNext()
 	r.loop.RunFor(time.Minute)
 }
 
-// checkVotes claims fresh keys of all shards at the newest node.
-func (r *rollingRestart) checkVotes(t *rapid.T) {
+// checkNewKeysGranted claims fresh keys of all shards at the newest node.
+func (r *rollingRestart) checkNewKeysGranted(t *rapid.T) {
 	newest := r.members[len(r.members)-1].Name
 	for value := range 12 {
 		fresh := Key{Tenant: "fresh", Value: fmt.Sprint(value)}
-		if verdict := r.await(newest, fresh, fmt.Sprint("fresh-", value)).Verdict; verdict != Granted {
+		if verdict := r.claimAndWait(newest, fresh, fmt.Sprint("fresh-", value)).Verdict; verdict != Granted {
 			t.Fatalf("key %v is refused: verdict %d", fresh, verdict)
 		}
 	}
@@ -164,9 +164,9 @@
 func (r *rollingRestart) step() {
 	switch r.random.IntN(12) {
 	case 0, 1:
-		r.stopAny()
+		r.stopRandom()
 	case 2:
-		for _, name := range r.names() {
+		for _, name := range r.liveNames() {
 			r.stop(r.nodes[name])
 		}
 	case 3, 4:
@@ -186,7 +186,7 @@
 		}
 		r.network.ConditionsOf = func(string, string) simulation.Conditions { return conditions }
 	}
-	r.claimSome()
+	r.claimRandom()
 	r.loop.RunFor(time.Duration(r.random.IntN(4000)) * time.Millisecond)
 }
 
@@ -197,11 +197,11 @@
 	r.started++
 	node := r.start(fmt.Sprintf("rolling-%d", r.started), fmt.Sprintf("zone-%d", r.started%3), 1)
 	node.view = []membership.Member{node.member}
-	r.announce()
+	r.publishMembers()
 }
 
-func (r *rollingRestart) stopAny() {
-	names := r.names()
+func (r *rollingRestart) stopRandom() {
+	names := r.liveNames()
 	if len(names) > 0 {
 		r.stop(r.nodes[names[r.random.IntN(len(names))]])
 	}
@@ -216,54 +216,54 @@
 	r.members = slices.Clone(r.members)
 	index := slices.IndexFunc(r.members, func(m membership.Member) bool { return m.Name == node.member.Name })
 	r.members[index].Draining = true
-	r.announce()
-	began := r.loop.Now()
-	var look func()
-	look = func() {
-		waited := r.loop.Now().Sub(began)
-		if node.set.IsAcceptor() && waited <= longestHandover {
-			node.process.AfterFunc(handoverPeriod, look)
+	r.publishMembers()
+	startedAt := r.loop.Now()
+	var poll func()
+	poll = func() {
+		waited := r.loop.Now().Sub(startedAt)
+		if node.set.IsAcceptor() && waited <= maxHandover {
+			node.process.AfterFunc(handoverPollInterval, poll)
 			return
 		}
-		r.overdue = r.overdue || node.set.IsAcceptor()
+		r.handoverTimedOut = r.handoverTimedOut || node.set.IsAcceptor()
 		node.process.Kill()
 		delete(r.nodes, node.member.Name)
-		r.forget(node.member.Name)
-		r.announce()
+		r.removeMember(node.member.Name)
+		r.publishMembers()
 	}
-	node.process.AfterFunc(handoverPeriod, look)
+	node.process.AfterFunc(handoverPollInterval, poll)
 }
 
-// announce tells all nodes the members, each after a delay of its own. A node never goes
+// publishMembers tells all nodes the members, each after a delay of its own. A node never goes
 // back to an older state.
-func (r *rollingRestart) announce() {
+func (r *rollingRestart) publishMembers() {
 	members := r.members
-	r.announced++
-	announced := r.announced
-	for _, name := range r.names() {
+	r.memberVersion++
+	version := r.memberVersion
+	for _, name := range r.liveNames() {
 		node := r.nodes[name]
-		lag := time.Duration(r.random.Int64N(int64(r.longestLag)))
+		lag := time.Duration(r.random.Int64N(int64(r.maxLag)))
 		node.process.AfterFunc(lag, func() {
-			if announced > node.viewed {
-				node.viewed = announced
+			if version > node.viewVersion {
+				node.viewVersion = version
 				node.view = members
 			}
 		})
 	}
 }
 
-// claimSome claims a key at up to two nodes; one in five of those that are granted it
+// claimRandom claims a key at up to two nodes; one in five of those that are granted it
 // releases it instead of running.
-func (r *rollingRestart) claimSome() {
+func (r *rollingRestart) claimRandom() {
 	key := Key{Tenant: "alpha", Value: fmt.Sprint(r.random.IntN(5))}
 	for range r.random.IntN(3) {
-		names := r.names()
+		names := r.liveNames()
 		if len(names) == 0 {
 			return
 		}
 		node := r.nodes[names[r.random.IntN(len(names))]]
-		r.claimed++
-		attempt := outside.AttemptID(fmt.Sprintf("%s-%d", node.member.Name, r.claimed))
+		r.claimCount++
+		attempt := outside.AttemptID(fmt.Sprintf("%s-%d", node.member.Name, r.claimCount))
 		node.set.Claim(key, attempt, 7, node.process.Now().Add(4*time.Second), func(result Result) {
 			switch {
 			case result.Verdict != Granted:
--- a/internal/claims/proposer.go
+++ b/internal/claims/proposer.go
@@ -13,13 +13,13 @@
 const (
 	// retryDelay after a round that failed for want of answers.
 	retryDelay = 100 * time.Millisecond
-	// outcomeDelay before the holder's outcome is asked for again.
-	outcomeDelay = 250 * time.Millisecond
+	// outcomeRetryDelay before the holder's outcome is asked for again.
+	outcomeRetryDelay = 250 * time.Millisecond
 )
 
-// grantedHolders maps a granted attempt to the round that won, under which the
+// grantedRounds maps a granted attempt to the round that won, under which the
 // acceptors know it.
-type grantedHolders struct {
+type grantedRounds struct {
 	mutex  sync.Mutex
 	rounds map[outside.AttemptID]grantedRound
 }
@@ -29,23 +29,23 @@
 	digest uint64
 }
 
-func newGrantedHolders() *grantedHolders {
-	return &grantedHolders{rounds: map[outside.AttemptID]grantedRound{}}
+func newGrantedRounds() *grantedRounds {
+	return &grantedRounds{rounds: map[outside.AttemptID]grantedRound{}}
 }
 
-func (g *grantedHolders) put(attempt outside.AttemptID, round grantedRound) {
+func (g *grantedRounds) put(attempt outside.AttemptID, round grantedRound) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.rounds[attempt] = round
 }
 
 // take removes and returns the winning round of an attempt.
-func (g *grantedHolders) take(attempt outside.AttemptID) (grantedRound, bool) {
+func (g *grantedRounds) take(attempt outside.AttemptID) (grantedRound, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	round, known := g.rounds[attempt]
+	round, found := g.rounds[attempt]
 	delete(g.rounds, attempt)
-	return round, known
+	return round, found
 }
 
 // claimOperation is one Claim call in progress. It goes through rounds; each
@@ -60,12 +60,12 @@
 	deadline time.Time
 	done     func(Result)
 
-	mutex    sync.Mutex
-	finished bool
-	round    *claimRound
-	rounds   int
-	// denied remembers the last answer of a holder.
-	denied Result
+	mutex      sync.Mutex
+	finished   bool
+	round      *claimRound
+	roundCount int
+	// deadlineResult remembers the last answer of a holder.
+	deadlineResult Result
 }
 
 // Claim implements Claimer.
@@ -73,7 +73,7 @@
 	operation := &claimOperation{
 		set: s, key: key, shard: shardOf(key, s.config.Shards), attempt: attempt,
 		digest: digest, deadline: deadline, done: done,
-		denied: Result{Verdict: Unavailable},
+		deadlineResult: Result{Verdict: Unavailable},
 	}
 	remaining := deadline.Sub(s.config.Clock.Now())
 	s.config.Clock.AfterFunc(remaining, operation.expire)
@@ -84,7 +84,7 @@
 func (o *claimOperation) expire() {
 	o.mutex.Lock()
 	round := o.round
-	denied := o.denied
+	result := o.deadlineResult
 	if o.finished {
 		o.mutex.Unlock()
 		return
@@ -92,14 +92,14 @@
 	o.finished = true
 	o.mutex.Unlock()
 	o.abandon(round)
-	o.done(denied)
+	o.done(result)
 }
 
 // startRound asks all acceptors for their votes.
 func (o *claimOperation) startRound() {
-	configuration, known := o.set.configurations.get(o.shard)
-	if !known || len(configuration.Acceptors) == 0 {
-		o.nextRound(retryDelay)
+	configuration, cached := o.set.configurations.get(o.shard)
+	if !cached || len(configuration.Acceptors) == 0 {
+		o.scheduleRound(retryDelay)
 		return
 	}
 	o.mutex.Lock()
@@ -107,29 +107,29 @@
 		o.mutex.Unlock()
 		return
 	}
-	o.rounds++
+	o.roundCount++
 	round := &claimRound{
 		configuration: configuration,
-		holder:        o.attempt + "/" + outside.AttemptID(strconv.Itoa(o.rounds)),
-		held:          map[outside.AttemptID]int{},
+		holder:        o.attempt + "/" + outside.AttemptID(strconv.Itoa(o.roundCount)),
+		heldBy:        map[outside.AttemptID]int{},
 	}
 	o.round = round
 	o.mutex.Unlock()
 	request := VoteRequest{Configuration: configuration.id(o.shard), Key: o.key, Attempt: round.holder, Digest: o.digest}
 	for _, acceptor := range configuration.Acceptors {
 		o.set.config.Transport.Call(acceptor.PeerAddress, request, o.set.config.CallTimeout,
-			func(message peer.Message, err error) { o.voted(round, message, err) })
+			func(message peer.Message, err error) { o.handleReply(round, message, err) })
 	}
 }
 
-func (o *claimOperation) nextRound(delay time.Duration) {
+func (o *claimOperation) scheduleRound(delay time.Duration) {
 	o.set.config.Clock.AfterFunc(o.set.jitter(delay), o.startRound)
 }
 
-// voted counts one answer and ends the round when it is decided.
-func (o *claimOperation) voted(round *claimRound, message peer.Message, err error) {
+// handleReply counts one answer and ends the round when it is decided.
+func (o *claimOperation) handleReply(round *claimRound, message peer.Message, err error) {
 	o.mutex.Lock()
-	if o.finished || round.ended || o.round != round {
+	if o.finished || round.closed || o.round != round {
 		o.mutex.Unlock()
 		return
 	}
@@ -139,32 +139,32 @@
 		o.mutex.Unlock()
 		return
 	}
-	round.ended = true
-	result, final := o.conclude(round, decision)
+	round.closed = true
+	result, final := o.resolve(round, decision)
 	o.finished = final
 	o.mutex.Unlock()
-	o.act(round, decision, result, final)
+	o.finishRound(round, decision, result, final)
 }
 
-// conclude turns a decision into the operation's result, if it is final.
-func (o *claimOperation) conclude(round *claimRound, decision roundDecision) (Result, bool) {
+// resolve turns a decision into the operation's result, if it is final.
+func (o *claimOperation) resolve(round *claimRound, decision roundDecision) (Result, bool) {
 	switch decision {
 	case won:
 		return Result{Verdict: Granted, Holder: o.attempt}, true
-	case usedForOther:
+	case digestMismatch:
 		return Result{Verdict: Conflict}, true
 	case heldByOther:
 		holder := round.majorityHolder()
-		o.denied = Result{Verdict: Denied, Holder: holder, Outcome: round.outcome}
-		return o.denied, round.outcome != nil
+		o.deadlineResult = Result{Verdict: Denied, Holder: holder, Outcome: round.outcome}
+		return o.deadlineResult, round.outcome != nil
 	default:
 		return Result{}, false
 	}
 }
 
-// act carries out what the end of a round asks for.
-func (o *claimOperation) act(round *claimRound, decision roundDecision, result Result, final bool) {
-	o.log(round, decision)
+// finishRound carries out what the end of a round asks for.
+func (o *claimOperation) finishRound(round *claimRound, decision roundDecision, result Result, final bool) {
+	o.logRound(round, decision)
 	if decision == won {
 		o.set.granted.put(o.attempt, grantedRound{holder: round.holder, digest: o.digest})
 		o.done(result)
@@ -177,14 +177,14 @@
 	}
 	delay := retryDelay
 	if decision == heldByOther {
-		delay = outcomeDelay
+		delay = outcomeRetryDelay
 	}
-	o.nextRound(delay)
+	o.scheduleRound(delay)
 }
 
-// log tells how a round ended and under which holder the acceptors know it, so that two runs of
+// logRound tells how a round ended and under which holder the acceptors know it, so that two runs of
 // one key can be traced to their votes.
-func (o *claimOperation) log(round *claimRound, decision roundDecision) {
+func (o *claimOperation) logRound(round *claimRound, decision roundDecision) {
 	o.set.config.Logger.Debug().Int("shard", o.shard).Uint64("epoch", round.configuration.Epoch).
 		Str("attempt", string(o.attempt)).Str("holder", string(round.holder)).
 		Str("held_by", string(round.majorityHolder())).Str("reason", decision.String()).
@@ -197,7 +197,7 @@
 		return
 	}
 	o.mutex.Lock()
-	round.ended = true
+	round.closed = true
 	o.mutex.Unlock()
 	o.set.sendRelease(o.shard, round.configuration, o.key, round.holder)
 }
@@ -211,12 +211,12 @@
 
 // Release implements Claimer.
 func (s *ClaimSet) Release(key Key, attempt outside.AttemptID) {
-	round, known := s.granted.take(attempt)
-	if !known {
+	round, found := s.granted.take(attempt)
+	if !found {
 		return
 	}
 	shard := shardOf(key, s.config.Shards)
-	if configuration, exists := s.configurations.get(shard); exists {
+	if configuration, cached := s.configurations.get(shard); cached {
 		s.sendRelease(shard, configuration, key, round.holder)
 	}
 }
--- a/internal/claims/reconfiguration.go
+++ b/internal/claims/reconfiguration.go
@@ -14,16 +14,16 @@
 	// rankDelay is how much later each next member in rank acts, so that a
 	// shard is repaired by one member unless that one fails.
 	rankDelay = 3 * time.Second
-	// lossGrace is how long a shard's votes must be out of reach before they
+	// lossGracePeriod is how long a shard's votes must be out of reach before they
 	// count as lost.
-	lossGrace = 60 * time.Second
-	// proposalPatience is how long after a proposal's newest step it counts as
+	lossGracePeriod = 60 * time.Second
+	// proposalTimeout is how long after a proposal's newest step it counts as
 	// one that may be committed. An acceptor sealed for longer asks for a new
 	// configuration.
-	proposalPatience = 5 * time.Second
-	// minRetry and maxRetry bound the pause after a failed try, which doubles.
-	minRetry = time.Second
-	maxRetry = 8 * time.Second
+	proposalTimeout = 5 * time.Second
+	// minRetryBackoff and maxRetry bound the pause after a failed try, which doubles.
+	minRetryBackoff = time.Second
+	maxRetryBackoff = 8 * time.Second
 	// reconfigurationTimeout lets a stuck try be begun anew.
 	reconfigurationTimeout = 15 * time.Second
 )
@@ -43,10 +43,10 @@
 
 // tick checks each shard and repairs it if that is this node's turn.
 func (s *ClaimSet) tick() {
-	if !s.configurations.isLoaded() || !s.membersKnown() {
+	if !s.configurations.isLoaded() || !s.membersSynchronised() {
 		return
 	}
-	s.refreshBeforeLeaving()
+	s.refreshWhileDraining()
 	now := s.config.Clock.Now()
 	s.live.update(s.config.Members.Members())
 	for shard := range s.config.Shards {
@@ -54,9 +54,9 @@
 	}
 }
 
-// refreshBeforeLeaving reads the configurations while only that can tell a
+// refreshWhileDraining reads the configurations while only that can tell a
 // draining node whether it holds votes.
-func (s *ClaimSet) refreshBeforeLeaving() {
+func (s *ClaimSet) refreshWhileDraining() {
 	if !s.config.Members.Self().Draining {
 		return
 	}
@@ -68,7 +68,7 @@
 	}
 }
 
-func (s *ClaimSet) membersKnown() bool {
+func (s *ClaimSet) membersSynchronised() bool {
 	return s.config.Synchronised == nil || s.config.Synchronised()
 }
 
@@ -77,16 +77,16 @@
 	s.reconfigurationMutex.Lock()
 	defer s.reconfigurationMutex.Unlock()
 	state := &s.reconfigurations[shard]
-	stuck := s.acceptors[shard].stuck(current.id(shard), proposalPatience, now)
-	if !stuck && live.keeps(current) {
+	sealTimedOut := s.acceptors[shard].sealTimedOut(current.id(shard), proposalTimeout, now)
+	if !sealTimedOut && live.retainsAcceptors(current) {
 		*state = reconfigurationState{}
 		return
 	}
 	if state.degradedSince.IsZero() {
 		state.degradedSince = now
 	}
-	position := s.position(shard, live.members)
-	if !stuck && (position < 0 || now.Sub(state.degradedSince) < time.Duration(position)*rankDelay) {
+	repairRank := s.repairRank(shard, live.members)
+	if !sealTimedOut && (repairRank < 0 || now.Sub(state.degradedSince) < time.Duration(repairRank)*rankDelay) {
 		return
 	}
 	if now.Before(state.retryAt) {
@@ -96,7 +96,7 @@
 		return
 	}
 	state.running = s.newReconfiguration(shard, chooseAcceptors(shard, current.Acceptors, live.members))
-	state.running.renew = stuck
+	state.running.force = sealTimedOut
 	state.startedAt = now
 	state.running.start()
 }
@@ -114,9 +114,9 @@
 	return false
 }
 
-// position is this node's place in the order in which members repair a shard;
+// repairRank is this node's place in the order in which members repair a shard;
 // draining members come in only when there are no others.
-func (s *ClaimSet) position(shard int, members []membership.Member) int {
+func (s *ClaimSet) repairRank(shard int, members []membership.Member) int {
 	candidates := withoutDraining(members)
 	if len(candidates) == 0 {
 		candidates = members
@@ -133,8 +133,8 @@
 	shard   int
 	desired []membership.Member
 	token   string
-	// renew the configuration even if its acceptors stay the same.
-	renew bool
+	// force the configuration even if its acceptors stay the same.
+	force bool
 
 	current     Configuration
 	modRevision int64
@@ -154,18 +154,18 @@
 func (r *reconfiguration) start() {
 	r.set.config.KeyValues.Range(configurationKey(r.shard), keyValueTimeout, func(result outside.RangeResult, err error) {
 		if err != nil {
-			r.end("key-value service unavailable")
+			r.finish("key-value service unavailable")
 			return
 		}
 		if len(result.KeyValues) > 0 {
 			configuration, err := decodeConfiguration(result.KeyValues[0].Value)
 			if err != nil {
-				r.end("record can't be read")
+				r.finish("record can't be read")
 				return
 			}
 			r.current = configuration
 			r.modRevision = result.KeyValues[0].ModRevision
-			r.set.configurations.learn(r.shard, configuration)
+			r.set.configurations.observe(r.shard, configuration)
 		}
 		r.prepare()
 	})
@@ -173,8 +173,8 @@
 
 func (r *reconfiguration) prepare() {
 	r.desired = chooseAcceptors(r.shard, r.current.Acceptors, r.set.config.Members.Members())
-	if r.modRevision != 0 && !r.renew && !needsChange(r.current, r.desired) {
-		r.end("no change needed")
+	if r.modRevision != 0 && !r.force && !needsChange(r.current, r.desired) {
+		r.finish("no change needed")
 		return
 	}
 	r.next = Configuration{Epoch: r.current.Epoch + 1, Token: r.token, Acceptors: r.desired}
@@ -188,13 +188,13 @@
 	}
 }
 
-// end lets the next tick try again if there is still need.
-func (r *reconfiguration) end(reason string) {
+// finish lets the next tick try again if there is still need.
+func (r *reconfiguration) finish(reason string) {
 	r.set.reconfigurationMutex.Lock()
 	state := &r.set.reconfigurations[r.shard]
 	if state.running == r {
 		state.running = nil
-		state.retryAt = r.set.config.Clock.Now().Add(r.set.jitter(retryPause(state.failures)))
+		state.retryAt = r.set.config.Clock.Now().Add(r.set.jitter(retryBackoff(state.failures)))
 		state.failures++
 	}
 	r.set.reconfigurationMutex.Unlock()
@@ -202,9 +202,9 @@
 		Str("reason", reason).Msg("claim shard reconfiguration ended")
 }
 
-// retryPause is the mean pause after a number of failed tries.
-func retryPause(failures int) time.Duration {
-	return min(minRetry<<min(failures, 10), maxRetry)
+// retryBackoff is the mean pause after a number of failed tries.
+func retryBackoff(failures int) time.Duration {
+	return min(minRetryBackoff<<min(failures, 10), maxRetryBackoff)
 }
 
 // commit writes the new configuration by compare-and-swap.
@@ -217,10 +217,10 @@
 	r.set.config.KeyValues.Transact(transaction, keyValueTimeout, func(result outside.TransactionResult, err error) {
 		switch {
 		case err == nil && result.Succeeded:
-			r.committed()
+			r.onCommitted()
 		case err == nil, isNotApplied(err):
 			r.unsealAll()
-			r.end("not committed")
+			r.finish("not committed")
 		default:
 			r.readBack()
 		}
@@ -232,26 +232,26 @@
 	key := configurationKey(r.shard)
 	r.set.config.KeyValues.Range(key, keyValueTimeout, func(result outside.RangeResult, err error) {
 		if err != nil {
-			r.set.config.Clock.AfterFunc(r.set.jitter(rereadDelay), r.readBack)
+			r.set.config.Clock.AfterFunc(r.set.jitter(minReadBackoff), r.readBack)
 			return
 		}
 		if len(result.KeyValues) == 0 {
-			r.end("not committed")
+			r.finish("not committed")
 			return
 		}
 		configuration, err := decodeConfiguration(result.KeyValues[0].Value)
 		if err != nil {
-			r.end("record can't be read")
+			r.finish("record can't be read")
 			return
 		}
-		r.set.configurations.learn(r.shard, configuration)
-		r.end("read back")
+		r.set.configurations.observe(r.shard, configuration)
+		r.finish("read back")
 	})
 }
 
-func (r *reconfiguration) committed() {
+func (r *reconfiguration) onCommitted() {
 	r.set.config.Logger.Info().Int("shard", r.shard).Uint64("epoch", r.next.Epoch).
 		Int("acceptors", len(r.next.Acceptors)).Int("keys", len(r.entries)).Msg("claim shard reconfigured")
-	r.set.configurations.learn(r.shard, r.next)
-	r.end("committed")
+	r.set.configurations.observe(r.shard, r.next)
+	r.finish("committed")
 }
--- a/internal/claims/record.go
+++ b/internal/claims/record.go
@@ -10,8 +10,8 @@
 
 // Record implements Claimer.
 func (s *ClaimSet) Record(key Key, attempt outside.AttemptID, outcome Outcome) {
-	round, known := s.granted.take(attempt)
-	if !known {
+	round, found := s.granted.take(attempt)
+	if !found {
 		return
 	}
 	if len(outcome.Body) > MaxOutcomeBytes {
@@ -42,9 +42,9 @@
 
 func (r *recordOperation) start() {
 	r.tries++
-	configuration, known := r.set.configurations.get(r.shard)
-	if !known || len(configuration.Acceptors) == 0 {
-		r.again()
+	configuration, cached := r.set.configurations.get(r.shard)
+	if !cached || len(configuration.Acceptors) == 0 {
+		r.scheduleRetry()
 		return
 	}
 	request := r.request
@@ -63,13 +63,13 @@
 		})
 }
 
-func (r *recordOperation) again() {
+func (r *recordOperation) scheduleRetry() {
 	if r.tries >= maxRecordTries {
 		r.set.config.Logger.Warn().Int("shard", r.shard).Str("attempt", string(r.request.Attempt)).
 			Str("reason", "no majority").Msg("outcome not recorded")
 		return
 	}
-	r.set.config.Clock.AfterFunc(r.set.jitter(outcomeDelay), r.start)
+	r.set.config.Clock.AfterFunc(r.set.jitter(outcomeRetryDelay), r.start)
 }
 
 // recordTally counts the acknowledgements of one try.
@@ -92,6 +92,6 @@
 	failed := t.replies == t.expected && t.accepted < t.needed
 	t.mutex.Unlock()
 	if failed {
-		t.operation.again()
+		t.operation.scheduleRetry()
 	}
 }
--- a/internal/claims/restore_test.go
+++ b/internal/claims/restore_test.go
@@ -19,8 +19,8 @@
 	started int
 }
 
-// change kills a node or starts another one, and lets some time pass.
-func (c *restoredCluster) change() {
+// changeMember kills a node or starts another one, and lets some time pass.
+func (c *restoredCluster) changeMember() {
 	name := fmt.Sprintf("node-%d", c.random.IntN(5))
 	if c.random.IntN(2) == 0 && c.nodes[name] != nil && len(c.nodes) > 3 {
 		c.kill(name)
@@ -31,10 +31,10 @@
 	c.loop.RunFor(time.Duration(c.random.IntN(20_000)) * time.Millisecond)
 }
 
-// changes makes up to four.
-func (c *restoredCluster) changes() {
+// changeMembers makes up to four.
+func (c *restoredCluster) changeMembers() {
 	for range 1 + c.random.IntN(4) {
-		c.change()
+		c.changeMember()
 	}
 }
 
@@ -44,14 +44,14 @@
 		for seed := range uint64(40) {
 			cluster := &restoredCluster{testCluster: newTestCluster(seed+1, 5), random: rand.New(rand.NewPCG(seed, 5))}
 			backup := cluster.store.Backup()
-			cluster.changes()
+			cluster.changeMembers()
 			key := Key{Tenant: "alpha", Value: fmt.Sprint("seat-", seed)}
-			cluster.await(slices.Sorted(maps.Keys(cluster.nodes))[0], key, "first")
+			cluster.claimAndWait(slices.Sorted(maps.Keys(cluster.nodes))[0], key, "first")
 			cluster.store.Restore(backup)
 			for round := range 3 {
-				cluster.changes()
+				cluster.changeMembers()
 				for _, name := range slices.Sorted(maps.Keys(cluster.nodes)) {
-					cluster.await(name, key, fmt.Sprint("later-", round, name))
+					cluster.claimAndWait(name, key, fmt.Sprint("later-", round, name))
 				}
 			}
 			Expect(cluster.runs[key]).To(BeNumerically("<=", 1), "seed %d", seed)
--- a/internal/claims/round.go
+++ b/internal/claims/round.go
@@ -10,12 +10,12 @@
 	configuration Configuration
 	holder        outside.AttemptID
 	replies       int
-	given         int
+	granted       int
 	conflicts     int
-	held          map[outside.AttemptID]int
+	heldBy        map[outside.AttemptID]int
 	outcome       *Outcome
 	outcomeHolder outside.AttemptID
-	ended         bool
+	closed        bool
 }
 
 func (r *claimRound) count(message peer.Message, err error) {
@@ -29,10 +29,10 @@
 		r.outcomeHolder = reply.Holder
 	}
 	switch reply.Status {
-	case VoteGiven:
-		r.given++
+	case VoteGranted:
+		r.granted++
 	case VoteHeld:
-		r.held[reply.Holder]++
+		r.heldBy[reply.Holder]++
 	case VoteConflict:
 		r.conflicts++
 	}
@@ -44,7 +44,7 @@
 	undecided roundDecision = iota
 	won
 	heldByOther
-	usedForOther
+	digestMismatch
 	noMajority
 )
 
@@ -55,7 +55,7 @@
 		return "granted"
 	case heldByOther:
 		return "held by another attempt"
-	case usedForOther:
+	case digestMismatch:
 		return "used for another request"
 	case noMajority:
 		return "no majority"
@@ -67,16 +67,16 @@
 // decide looks at the votes so far.
 func (r *claimRound) decide() roundDecision {
 	quorum := r.configuration.writeQuorum()
-	if r.given >= quorum {
+	if r.granted >= quorum {
 		return won
 	}
 	if r.outcome != nil {
 		return heldByOther
 	}
 	if r.conflicts >= quorum {
-		return usedForOther
+		return digestMismatch
 	}
-	for _, votes := range r.held {
+	for _, votes := range r.heldBy {
 		if votes >= quorum {
 			return heldByOther
 		}
@@ -91,7 +91,7 @@
 	if r.outcome != nil {
 		return r.outcomeHolder
 	}
-	for holder, votes := range r.held {
+	for holder, votes := range r.heldBy {
 		if votes >= r.configuration.writeQuorum() {
 			return holder
 		}
--- a/internal/claims/transfer.go
+++ b/internal/claims/transfer.go
@@ -16,68 +16,68 @@
 
 func isNotApplied(err error) bool { return errors.Is(err, outside.ErrNotApplied) }
 
-// sealing collects the entries of the old acceptors.
-type sealing struct {
+// sealCollector collects the entries of the old acceptors.
+type sealCollector struct {
 	reconfiguration *reconfiguration
 
-	mutex    sync.Mutex
-	failed   int
-	complete [][]KeyRecord
+	mutex     sync.Mutex
+	failed    int
+	collected [][]KeyRecord
 }
 
 // sealAll seals every old acceptor; a seal quorum is enough to go on.
 func (r *reconfiguration) sealAll() {
-	collect := &sealing{reconfiguration: r}
+	collector := &sealCollector{reconfiguration: r}
 	for _, acceptor := range r.current.Acceptors {
-		collect.page(acceptor, 0, nil)
+		collector.requestPage(acceptor, 0, nil)
 	}
 }
 
-func (c *sealing) page(acceptor membership.Member, page int, before []KeyRecord) {
+func (c *sealCollector) requestPage(acceptor membership.Member, page int, previous []KeyRecord) {
 	r := c.reconfiguration
 	request := SealRequest{Configuration: r.current.id(r.shard), Token: r.token, Page: page}
 	r.set.config.Transport.Call(acceptor.PeerAddress, request, r.set.config.CallTimeout,
 		func(message peer.Message, err error) {
 			reply, ok := message.(SealReply)
 			if err != nil || !ok || !reply.OK {
-				c.ended(nil, false)
+				c.acceptorDone(nil, false)
 				return
 			}
-			entries := append(before, reply.Entries...)
+			entries := append(previous, reply.Entries...)
 			if reply.More {
-				c.page(acceptor, page+1, entries)
+				c.requestPage(acceptor, page+1, entries)
 				return
 			}
-			c.ended(entries, true)
+			c.acceptorDone(entries, true)
 		})
 }
 
-// ended counts an acceptor's result. All answers are awaited, since each one
+// acceptorDone counts an acceptor's result. All answers are awaited, since each one
 // makes fewer keys contested.
-func (c *sealing) ended(entries []KeyRecord, ok bool) {
+func (c *sealCollector) acceptorDone(entries []KeyRecord, ok bool) {
 	c.mutex.Lock()
 	if ok {
-		c.complete = append(c.complete, entries)
+		c.collected = append(c.collected, entries)
 	} else {
 		c.failed++
 	}
-	all := len(c.complete)+c.failed == len(c.reconfiguration.current.Acceptors)
-	complete := c.complete
+	allReplied := len(c.collected)+c.failed == len(c.reconfiguration.current.Acceptors)
+	collected := c.collected
 	c.mutex.Unlock()
-	if all {
-		c.reconfiguration.sealed(complete)
+	if allReplied {
+		c.reconfiguration.onSealed(collected)
 	}
 }
 
-func (r *reconfiguration) sealed(complete [][]KeyRecord) {
-	if len(complete) >= r.current.sealQuorum() {
-		r.entries = mergeEntries(complete, r.current)
+func (r *reconfiguration) onSealed(collected [][]KeyRecord) {
+	if len(collected) >= r.current.sealQuorum() {
+		r.entries = mergeEntries(collected, r.current)
 		r.next.QuarantineUntil = r.current.QuarantineUntil
 		r.installAll()
 		return
 	}
-	if r.votesAreLost() {
-		r.entries = mergeEntries(complete, r.current)
+	if r.votesLost() {
+		r.entries = mergeEntries(collected, r.current)
 		r.next.QuarantineUntil = r.set.config.Clock.Now().Add(r.set.config.Quarantine)
 		r.set.config.Logger.Error().Int("shard", r.shard).Uint64("epoch", r.next.Epoch).
 			Time("quarantine_until", r.next.QuarantineUntil).Msg("claim shard lost its votes")
@@ -85,31 +85,31 @@
 		return
 	}
 	r.unsealAll()
-	r.end("too few acceptors answer")
+	r.finish("too few acceptors answer")
 }
 
-// votesAreLost reports whether so many acceptors are no members any more, for
+// votesLost reports whether so many acceptors are no members any more, for
 // so long, that a seal quorum can never be had again.
-func (r *reconfiguration) votesAreLost() bool {
+func (r *reconfiguration) votesLost() bool {
 	members := r.set.config.Members.Members()
-	living := 0
+	remaining := 0
 	for _, acceptor := range r.current.Acceptors {
 		if slices.ContainsFunc(members, func(m membership.Member) bool { return m.ID() == acceptor.ID() }) {
-			living++
+			remaining++
 		}
 	}
 	now := r.set.config.Clock.Now()
 	r.set.reconfigurationMutex.Lock()
 	defer r.set.reconfigurationMutex.Unlock()
 	state := &r.set.reconfigurations[r.shard]
-	if living >= r.current.sealQuorum() {
+	if remaining >= r.current.sealQuorum() {
 		state.unreachableSince = time.Time{}
 		return false
 	}
 	if state.unreachableSince.IsZero() {
 		state.unreachableSince = now
 	}
-	return now.Sub(state.unreachableSince) >= lossGrace
+	return now.Sub(state.unreachableSince) >= lossGracePeriod
 }
 
 // unsealAll lets the old acceptors go on after a proposal that was certainly
@@ -134,7 +134,7 @@
 			return
 		}
 		r.unsealAll()
-		r.end("an acceptor did not take the entries")
+		r.finish("an acceptor did not take the entries")
 	}}
 	for _, acceptor := range r.next.Acceptors {
 		r.installPage(acceptor, 0, remaining)
@@ -152,9 +152,9 @@
 			acknowledgement, ok := message.(Acknowledgement)
 			switch {
 			case err != nil || !ok || !acknowledgement.OK:
-				remaining.one(false)
+				remaining.report(false)
 			case last:
-				remaining.one(true)
+				remaining.report(true)
 			default:
 				r.installPage(acceptor, page+1, remaining)
 			}
@@ -162,8 +162,8 @@
 }
 
 func pageOf(entries []KeyRecord, page int) (part []KeyRecord, last bool) {
-	first := min(page*pageEntries, len(entries))
-	end := min(first+pageEntries, len(entries))
+	first := min(page*maxPageEntries, len(entries))
+	end := min(first+maxPageEntries, len(entries))
 	return entries[first:end], end == len(entries)
 }
 
@@ -175,7 +175,7 @@
 	done   func(ok bool)
 }
 
-func (c *countdown) one(ok bool) {
+func (c *countdown) report(ok bool) {
 	c.mutex.Lock()
 	c.left--
 	c.failed = c.failed || !ok
@@ -195,7 +195,7 @@
 	var buffer bytes.Buffer
 	if err := gob.NewEncoder(&buffer).Encode(entries); err != nil {
 		r.unsealAll()
-		r.end("entries can't be encoded")
+		r.finish("entries can't be encoded")
 		return
 	}
 	put := outside.Operation{Kind: outside.OperationPut, Key: snapshotKey(r.shard, r.token, page), Value: buffer.Bytes()}
@@ -204,7 +204,7 @@
 			switch {
 			case err != nil:
 				r.unsealAll()
-				r.end(fmt.Sprintf("page %d not written", page))
+				r.finish(fmt.Sprintf("page %d not written", page))
 			case last:
 				r.next.SnapshotPages = page + 1
 				r.commit()
@@ -219,13 +219,13 @@
 	prefix := snapshotPrefix(r.shard, r.current.Token)
 	r.set.config.KeyValues.Range(prefix, keyValueTimeout, func(result outside.RangeResult, err error) {
 		if err != nil || len(result.KeyValues) != r.current.SnapshotPages {
-			r.end("snapshot can't be read")
+			r.finish("snapshot can't be read")
 			return
 		}
 		for _, pair := range result.KeyValues {
 			var entries []KeyRecord
 			if err := gob.NewDecoder(bytes.NewReader(pair.Value)).Decode(&entries); err != nil {
-				r.end("snapshot can't be decoded")
+				r.finish("snapshot can't be decoded")
 				return
 			}
 			r.entries = append(r.entries, entries...)
--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -199,10 +199,10 @@
 switch_off recent-orders-complete internal/orders/order_history.go 'return ages, !now.Before(h.completeFrom)' 'return ages, true' ./internal/orders ./platform
 switch_off successor-without-burst internal/orders/load_limiter.go 'l.tokens = 0' 'l.tokens = burst' ./internal/orders
 # Planned stops and claims.
-switch_off stop-acceptor-ahead internal/claims/claimset.go 'known && current.has(self) || s.acceptorAhead(shard)' 'known && current.has(self)' ./internal/claims
-switch_off stop-active-epoch internal/claims/acceptor.go 'if a.active.Epoch > known {' 'if false {' ./internal/claims
+switch_off stop-acceptor-ahead internal/claims/claimset.go 'cached && current.has(self) || s.acceptorAhead(shard)' 'cached && current.has(self)' ./internal/claims
+switch_off stop-active-epoch internal/claims/acceptor.go 'if a.active.Epoch > epoch {' 'if false {' ./internal/claims
 switch_off stop-takes-nothing internal/claims/claimset.go '!s.config.Members.Self().Draining && a.install' 'a.install' ./internal/claims
-switch_off stop-reads-again internal/claims/reconfiguration.go 's.refreshBeforeLeaving()' '' ./internal/claims
+switch_off stop-reads-again internal/claims/reconfiguration.go 's.refreshWhileDraining()' '' ./internal/claims
 switch_off stop-hands-keys-over internal/claims/acceptor.go 'return SealReply{OK: true, Entries: all[first:last], More: last < len(all)}' 'return SealReply{OK: true, Entries: all[last:last]}' ./internal/emulator
 switch_off stop-rests-with-keys internal/claims/transfer.go 'r.entries = append(r.entries, entries...)' '' ./internal/emulator
 switch_off claim-before-run internal/gateway/dispatch.go 'if e.claim.needed && !e.claim.held {' 'if false {' ./internal/emulator
