--- a/internal/claims/acceptor.go
+++ b/internal/claims/acceptor.go
@@ -8,27 +8,28 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// maxPageEntries bounds the entries of one transfer message.
+// maxPageEntries is the maximum number of entries in one SealReply, InstallRequest or snapshot page.
 const maxPageEntries = 500
 
-// acceptor holds this node's votes of one shard.
+// acceptor holds this node's votes for the keys of one shard.
 type acceptor struct {
 	retention  time.Duration
 	maxEntries int
 
 	mutex sync.Mutex
-	// active is the configuration in which this node votes.
+	// active is the configuration in which this acceptor votes.
 	active ConfigurationID
-	// sealTokens holds the tokens of proposals that ended the voting here.
+	// sealTokens holds the tokens of the proposals that sealed this acceptor. While there is one,
+	// the acceptor does not vote.
 	sealTokens map[string]bool
-	// sealedAt is when the first of them did.
+	// sealedAt is the time of the first of these seals.
 	sealedAt time.Time
-	// quarantineUntil refuses votes until then.
+	// quarantineUntil is the time until which votes for new keys are refused.
 	quarantineUntil time.Time
 	entries         map[Key]*KeyRecord
-	// expiry lists keys in order of their first vote.
+	// expiry lists the keys in order of their first vote, oldest first.
 	expiry []expiringKey
-	// proposed configurations that are not committed yet, by token.
+	// proposed holds configurations that are not known to be committed, by token.
 	proposed map[string]*proposal
 }
 
@@ -37,14 +38,15 @@
 	claimedAt time.Time
 }
 
-// proposal is a configuration handed over but not known to be committed.
+// proposal is a configuration that a proposer is installing or has installed here, not known to be
+// committed.
 type proposal struct {
 	configuration   ConfigurationID
 	nextPage        int
 	complete        bool
 	entries         []KeyRecord
 	quarantineUntil time.Time
-	// installedAt is when the newest page came.
+	// installedAt is the time at which the latest page was installed.
 	installedAt time.Time
 }
 
@@ -58,8 +60,9 @@
 	}
 }
 
-// vote records the key for the attempt unless another came first. A request of
-// a configuration proves that it is committed, since its sender read it there.
+// vote records the key for the attempt unless another attempt already holds it. A request that names
+// a configuration proves that it is committed: the sender has read it from the key-value service or
+// committed it.
 func (a *acceptor) vote(request VoteRequest, now time.Time) VoteReply {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -101,8 +104,8 @@
 	return reply
 }
 
-// record stores an outcome. Only the attempt that won the key sends one, so it
-// also settles a contested key and one whose vote was missed here.
+// record stores an outcome and reports whether it did. Only the attempt that won the key sends one,
+// so the outcome also decides a contested key, and a key for which this acceptor has no vote.
 func (a *acceptor) record(request RecordRequest, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -121,7 +124,7 @@
 	return true
 }
 
-// release removes the vote for an attempt that never ran.
+// release removes the vote for an attempt that never ran, and reports whether there was one.
 func (a *acceptor) release(request ReleaseRequest) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -137,7 +140,7 @@
 	return true
 }
 
-// seal ends voting and returns one page of entries in order of key.
+// seal stops voting in the configuration and returns one page of the entries, sorted by key.
 func (a *acceptor) seal(request SealRequest, now time.Time) SealReply {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -156,7 +159,8 @@
 	return SealReply{OK: true, Entries: all[first:last], More: last < len(all)}
 }
 
-// unseal lets voting go on unless another proposal sealed the shard too.
+// unseal removes the seal of one proposal. Voting resumes unless another proposal has sealed the
+// acceptor too.
 func (a *acceptor) unseal(request UnsealRequest) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -165,6 +169,7 @@
 	}
 }
 
+// sortedEntries returns copies of the entries with their ages, sorted by key.
 func (a *acceptor) sortedEntries(now time.Time) []KeyRecord {
 	all := make([]KeyRecord, 0, len(a.entries))
 	for _, entry := range a.entries {
@@ -183,7 +188,8 @@
 	return a.Value < b.Value
 }
 
-// install takes a page of a proposed configuration.
+// install stores one page of a proposed configuration's entries and reports whether the acceptor
+// has that page. Page 0 restarts the transfer; other pages are accepted in order only.
 func (a *acceptor) install(request InstallRequest, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -208,7 +214,8 @@
 	return true
 }
 
-// activate switches to a committed configuration whose entries are here.
+// activate switches to a committed configuration if it is newer than the active one and all its
+// entries have been installed.
 func (a *acceptor) activate(committed ConfigurationID) {
 	if committed.Epoch <= a.active.Epoch {
 		return
@@ -231,20 +238,21 @@
 	}
 }
 
-// observeCommitted tells the acceptor which configuration the key-value service holds.
+// observeCommitted activates a configuration that the key-value service holds.
 func (a *acceptor) observeCommitted(configuration ConfigurationID) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.activate(configuration)
 }
 
+// insert adds an entry whose first vote is not older than those of the others.
 func (a *acceptor) insert(entry KeyRecord) {
 	stored := entry
 	a.entries[entry.Key] = &stored
 	a.expiry = append(a.expiry, expiringKey{key: entry.Key, claimedAt: entry.ClaimedAt})
 }
 
-// expire forgets keys older than the retention.
+// expire deletes the keys whose first vote is older than the retention period.
 func (a *acceptor) expire(now time.Time) {
 	expired := 0
 	for expired < len(a.expiry) && now.Sub(a.expiry[expired].claimedAt) > a.retention {
@@ -258,8 +266,8 @@
 	a.expiry = a.expiry[expired:]
 }
 
-// sealTimedOut reports whether voting ended in a configuration for so long that the
-// proposal it was ended for has been given up.
+// sealTimedOut reports whether this acceptor has been sealed in the configuration for longer than the
+// timeout, so that the proposal that sealed it counts as abandoned.
 func (a *acceptor) sealTimedOut(configuration ConfigurationID, timeout time.Duration, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -267,9 +275,10 @@
 	return sealed && now.Sub(a.sealedAt) > timeout
 }
 
-// aheadOf reports whether this acceptor votes in a configuration newer than the
-// known one, or was handed one that may still be committed. The latter is ruled
-// out once the key-value service was read proposalPatience after the handover.
+// aheadOf reports whether this acceptor votes in a configuration newer than the given epoch, or holds
+// a proposal for a newer one that may still be committed. If a read of the key-value service that
+// began proposalTimeout or more after the latest page was installed here did not return the proposal,
+// the proposal is ruled out.
 func (a *acceptor) aheadOf(epoch uint64, readStartedAt time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -284,7 +293,7 @@
 	return false
 }
 
-// keyCount returns the number of keys held.
+// keyCount returns the number of keys that this acceptor holds votes for.
 func (a *acceptor) keyCount() int {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/internal/claims/claim.go
+++ b/internal/claims/claim.go
@@ -1,6 +1,6 @@
-// Package claims makes non-repeatable requests run at most once: before a
-// gateway sends such a request to a back end, it claims the request's key at a
-// majority of the key's shard.
+// Package claims makes non-repeatable requests run at most once: before a gateway sends such a
+// request to a back end, it claims the request's key by votes from a majority of the acceptors of the
+// key's shard.
 package claims
 
 import (
@@ -12,24 +12,24 @@
 // Verdict is the outcome of a claim.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts of a claim.
 const (
-	// Granted: this attempt, and no other, may run.
+	// Granted: this attempt holds the key; no other attempt may run.
 	Granted Verdict = iota
-	// Denied: another attempt holds the key; the outcome is given if known.
+	// Denied: another attempt holds the key. Result.Outcome is its outcome if one is recorded.
 	Denied
-	// Unavailable: no majority answered in time; this attempt must not run.
+	// Unavailable: no majority voted before the deadline; this attempt must not run.
 	Unavailable
-	// Conflict: the key was claimed for another request body.
+	// Conflict: the key was claimed with another digest, that is for another request.
 	Conflict
 )
 
-// Outcome is the recorded end of the run that held a key.
+// Outcome is the recorded response to the attempt that held a key.
 type Outcome struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	// Truncated: the body was too large to keep.
+	// Truncated: the body was longer than MaxOutcomeBytes and was dropped.
 	Truncated bool
 }
 
@@ -39,22 +39,25 @@
 	Value  string
 }
 
-// Result is what a claim came to.
+// Result is the result of a claim.
 type Result struct {
 	Verdict Verdict
-	// Holder is the attempt that holds the key when Denied.
+	// Holder is the attempt that holds the key if the verdict is Granted, and the winning round of
+	// the attempt that holds it if the verdict is Denied; empty if no single holder is known.
 	Holder outside.AttemptID
-	// Outcome of the holder, nil if not recorded yet.
+	// Outcome of the holder; nil if none is recorded.
 	Outcome *Outcome
 }
 
-// Claimer is what the gateway uses.
+// Claimer claims keys for the gateway.
 type Claimer interface {
-	// Claim tries to take the key for the attempt. Digest is a hash of the
-	// request, to detect a key used twice. Done as in package outside.
+	// Claim tries to claim the key for the attempt until the deadline. Digest is a hash of the
+	// request; it detects a key that is reused for another request. Done follows the contract for
+	// callbacks in package outside.
 	Claim(key Key, attempt outside.AttemptID, digest uint64, deadline time.Time, done func(Result))
-	// Record stores the outcome of the attempt that holds the key. Best effort.
+	// Record stores the outcome of the attempt that holds the key, as a best effort.
 	Record(key Key, attempt outside.AttemptID, outcome Outcome)
-	// Release gives up the claim of an attempt proved not to have run.
+	// Release removes the claim of an attempt that certainly did not run, so that another attempt
+	// can claim the key. Best effort.
 	Release(key Key, attempt outside.AttemptID)
 }
--- a/internal/claims/claims_suite_test.go
+++ b/internal/claims/claims_suite_test.go
@@ -21,7 +21,7 @@
 	RunSpecs(t, "claims")
 }
 
-// testCluster is a few nodes' claim sets around one key-value stand-in.
+// testCluster is a simulated cluster: the ClaimSets of its nodes and one simulated key-value service.
 type testCluster struct {
 	loop    *simulation.Loop
 	network *simulation.Network
@@ -39,7 +39,8 @@
 	set     *ClaimSet
 	member  membership.Member
 	cluster *testCluster
-	// view of the members, the newest of the numbered ones; nil: the cluster's.
+	// view is the latest member list that the node has received, and viewVersion its version; nil:
+	// the node sees the cluster's members without a delay.
 	view        []membership.Member
 	viewVersion int
 }
@@ -84,7 +85,7 @@
 	return node
 }
 
-// kill ends a node; the others learn it after a detection time.
+// kill crashes a node; it is removed from the members after 5 s, the time to detect the crash.
 func (c *testCluster) kill(name string) {
 	c.nodes[name].process.Kill()
 	delete(c.nodes, name)
@@ -101,7 +102,7 @@
 	c.members = remaining
 }
 
-// claim starts a claim at a node and counts a grant as a run.
+// claim starts a claim at a node and counts a run if it is granted.
 func (c *testCluster) claim(node string, key Key, attempt string, limit time.Duration, done func(Result)) {
 	target := c.nodes[node]
 	deadline := target.process.Now().Add(limit)
@@ -113,7 +114,7 @@
 	})
 }
 
-// claimAndWait runs the loop until a claim has ended.
+// claimAndWait starts a claim with a limit of 5 s, runs the loop for 6 s and returns the result.
 func (c *testCluster) claimAndWait(node string, key Key, attempt string) Result {
 	var claimed *Result
 	c.claim(node, key, attempt, 5*time.Second, func(result Result) { claimed = &result })
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -25,7 +25,7 @@
 		Expect(string(again.Outcome.Body)).To(Equal("seat"))
 	})
 
-	It("tells a key that was used for another request", func() {
+	It("detects a key that was used for another request", func() {
 		cluster := newTestCluster(2, 3)
 		cluster.claimAndWait("node-0", key, "a")
 		var verdict Verdict
@@ -35,7 +35,7 @@
 		Expect(verdict).To(Equal(Conflict))
 	})
 
-	It("gives a released key to the next attempt", func() {
+	It("grants a released key to the next attempt", func() {
 		cluster := newTestCluster(3, 3)
 		cluster.claimAndWait("node-0", key, "a")
 		cluster.nodes["node-0"].set.Release(key, "a")
@@ -53,10 +53,10 @@
 		}
 		Expect(cluster.runs[key]).To(Equal(1))
 	},
-		Entry("the death of the node that claimed", func(c *testCluster) {
+		Entry("a crash of the claiming node", func(c *testCluster) {
 			c.kill("node-0")
 		}),
-		Entry("the death of each node in turn with repair between", func(c *testCluster) {
+		Entry("crashes of three nodes in turn with repairs between them", func(c *testCluster) {
 			for i := range 3 {
 				c.kill(fmt.Sprintf("node-%d", i))
 				c.loop.RunFor(30 * time.Second)
@@ -71,9 +71,9 @@
 				c.loop.RunFor(40 * time.Second)
 			}
 		}),
-		// Guards against a key that is forgotten, and runs again, at a node with another time
-		// of day than the one that voted.
-		Entry("a replacement of all nodes by ones whose clocks are ahead", func(c *testCluster) {
+		// A node whose clock differs from that of the node that voted must not expire a key early
+		// and let it run again.
+		Entry("a replacement of all nodes by nodes whose clocks are ahead", func(c *testCluster) {
 			for i := range 5 {
 				c.start(fmt.Sprintf("ahead-%d", i), fmt.Sprintf("zone-%d", i%3), 1).process.SetDrift(0, 2*time.Hour)
 			}
@@ -82,7 +82,7 @@
 				c.loop.RunFor(40 * time.Second)
 			}
 		}),
-		Entry("a rest in the key-value service, and a node whose clock is ahead", func(c *testCluster) {
+		Entry("a snapshot in the key-value service that a node whose clock is ahead reads", func(c *testCluster) {
 			for name, node := range c.nodes {
 				node.member.Draining = true
 				for i := range c.members {
@@ -97,14 +97,14 @@
 			c.start("ahead", "zone-0", 1).process.SetDrift(0, 2*time.Hour)
 			c.loop.RunFor(30 * time.Second)
 		}),
-		Entry("a key-value outage with a death in it", func(c *testCluster) {
+		Entry("a crash during a key-value outage", func(c *testCluster) {
 			c.store.SetFaults(keyvalue.Faults{Outage: true})
 			c.kill("node-1")
 			c.loop.RunFor(5 * time.Minute)
 			c.store.SetFaults(keyvalue.Faults{})
 			c.loop.RunFor(time.Minute)
 		}),
-		Entry("lost replies of the key-value service during repair", func(c *testCluster) {
+		Entry("lost replies of the key-value service during a repair", func(c *testCluster) {
 			c.store.SetFaults(keyvalue.Faults{LostReplies: 0.7})
 			c.kill("node-2")
 			c.loop.RunFor(2 * time.Minute)
@@ -113,7 +113,7 @@
 		}),
 	)
 
-	It("grants new claims during a key-value outage with one node dead", func() {
+	It("grants new claims during a key-value outage after one node has crashed", func() {
 		cluster := newTestCluster(5, 5)
 		cluster.store.SetFaults(keyvalue.Faults{Outage: true})
 		cluster.kill("node-3")
@@ -135,7 +135,7 @@
 		Expect(cluster.claimAndWait("node-0", Key{Tenant: "alpha", Value: "fresh"}, "c").Verdict).To(Equal(Granted))
 	})
 
-	It("rests in the key-value service when the last node stops", func() {
+	It("stores a snapshot in the key-value service when the last node shuts down", func() {
 		cluster := newTestCluster(7, 1)
 		Expect(cluster.claimAndWait("node-0", key, "a").Verdict).To(Equal(Granted))
 		node := cluster.nodes["node-0"]
@@ -150,7 +150,7 @@
 		Expect(cluster.claimAndWait("node-9", key, "b").Verdict).To(Equal(Denied))
 	})
 
-	It("lets a shard go on that was sealed for a proposal given up", func() {
+	It("resumes voting in a shard that was sealed for an abandoned proposal", func() {
 		cluster := newTestCluster(8, 3)
 		shard := shardOf(key, 4)
 		configuration, _ := cluster.nodes["node-0"].set.configurations.get(shard)
@@ -162,7 +162,7 @@
 		Expect(cluster.claimAndWait("node-0", key, "b").Verdict).To(Equal(Granted))
 	})
 
-	It("grants a key once when all nodes race for it", func() {
+	It("grants a key once when all nodes claim it concurrently", func() {
 		for seed := range uint64(30) {
 			cluster := newTestCluster(seed, 5)
 			cluster.claimFromAllNodes(key, 0)
@@ -184,7 +184,7 @@
 		}
 	})
 
-	It("never grants a key twice, whatever happens", func() {
+	It("never grants a key twice under random faults", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			cluster := newTestCluster(rapid.Uint64().Draw(t, "seed"), 4)
 			runRandomFaults(t, cluster)
@@ -197,8 +197,8 @@
 	})
 })
 
-// runRandomFaults claims a few keys over and over from random nodes, while
-// nodes die, pause and start, and the key-value service fails.
+// runRandomFaults claims a few keys repeatedly from all nodes, while nodes crash, pause, start and are
+// isolated, and the key-value service fails.
 func runRandomFaults(t *rapid.T, cluster *testCluster) {
 	random := cluster.loop.Random()
 	started := 0
@@ -234,8 +234,8 @@
 	cluster.loop.RunFor(time.Minute)
 }
 
-// isolateAcceptors leaves one acceptor of the key's shard reachable and makes it
-// seem that another has left, so that the others try a repair.
+// isolateAcceptors cuts off the first two acceptors of the key's shard from the network and removes the
+// first of them from the members for 19 s, so that the other nodes try a repair.
 func (c *testCluster) isolateAcceptors(key Key) {
 	shard := shardOf(key, 4)
 	configuration, _ := c.nodes["node-0"].set.configurations.get(shard)
@@ -246,7 +246,7 @@
 	c.loop.AfterFunc(19*time.Second, func() { c.members = members })
 }
 
-// claimFromAllNodes lets all nodes race for a key within a few milliseconds.
+// claimFromAllNodes claims a key from all nodes within 3 ms.
 func (c *testCluster) claimFromAllNodes(key Key, step int) {
 	for _, name := range c.liveNames() {
 		process := c.nodes[name].process
@@ -257,6 +257,7 @@
 	}
 }
 
+// liveNames returns the names of the members that have not crashed.
 func (c *testCluster) liveNames() []string {
 	var names []string
 	for _, member := range c.members {
--- a/internal/claims/claimset.go
+++ b/internal/claims/claimset.go
@@ -14,32 +14,35 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// Config is what a ClaimSet needs.
+// Config configures a ClaimSet. Zero values of the numbers and durations are replaced by the defaults
+// below.
 type Config struct {
 	Clock     clock.Clock
 	Random    *rand.Rand
 	KeyValues outside.KeyValueService
 	Transport peer.Transport
 	Members   membership.View
-	// Synchronised reports whether Members is more than this node's knowledge
-	// of itself; nil: always. Shards are not repaired before.
+	// Synchronised reports whether Members has been read at least once; before that it contains only
+	// this node, and no shard is repaired. Nil: always synchronised.
 	Synchronised func() bool
 	Logger       zerolog.Logger
-	// Shards is the number of shards; the same on all nodes, for ever.
+	// Shards is the number of shards. It must be the same on all nodes and must never change, since
+	// it determines the shard of a key.
 	Shards int
-	// Retention is how long a key is remembered after its claim.
+	// Retention is how long a key is kept after its first vote.
 	Retention time.Duration
-	// Quarantine is how long a shard that lost its votes refuses new keys.
+	// Quarantine is how long a shard whose votes were lost refuses new keys. After a quarantine as long
+	// as Retention, all keys whose votes were lost have expired.
 	Quarantine time.Duration
-	// MaxKeysPerShard bounds an acceptor's memory.
+	// MaxKeysPerShard is the maximum number of keys that an acceptor keeps for one shard.
 	MaxKeysPerShard int
-	// CallTimeout of one message to an acceptor.
+	// CallTimeout is the time limit of one call to an acceptor.
 	CallTimeout time.Duration
-	// TickPeriod of the check of all configurations.
+	// TickPeriod is the interval between checks of all shards.
 	TickPeriod time.Duration
 }
 
-// Defaults of Config.
+// Defaults of the Config fields of the same names.
 const (
 	DefaultShards          = 16
 	DefaultRetention       = 24 * time.Hour
@@ -59,8 +62,8 @@
 	return c
 }
 
-// ClaimSet is a node's part in all shards: acceptor of some, proposer to all,
-// and keeper of their configurations.
+// ClaimSet is a node's part in all shards: it is an acceptor of some, claims keys at the acceptors of
+// all, caches the shards' configurations, and reconfigures shards whose acceptors have to be replaced.
 type ClaimSet struct {
 	config    Config
 	acceptors []*acceptor
@@ -74,13 +77,13 @@
 	reconfigurationMutex sync.Mutex
 	reconfigurations     []reconfigurationState
 
-	// live members as of the newest tick; ticks never overlap.
+	// live is the index of the members as of the latest tick. It needs no mutex: ticks never overlap.
 	live liveMembers
 
 	stopTick func()
 }
 
-// New returns a claim set; Start makes it work.
+// New returns a ClaimSet and registers its message handlers; it takes part in claims after Start.
 func New(config Config) *ClaimSet {
 	config = config.withDefaults()
 	set := &ClaimSet{
@@ -96,14 +99,14 @@
 	return set
 }
 
-// Start begins to follow the configurations and to repair them.
+// Start starts watching the shards' configurations and repairing shards.
 func (s *ClaimSet) Start() {
 	s.configurations.start()
 	s.stopTick = clock.Repeat(s.config.Clock, s.config.TickPeriod, s.tick)
 }
 
-// Stop ends all activity at once. To hand the shards over first, drain the
-// member and wait until IsAcceptor reports false.
+// Stop stops the checks and the watch without handing over any shard. To hand the shards over first,
+// drain the member and wait until IsAcceptor reports false.
 func (s *ClaimSet) Stop() {
 	if s.stopTick != nil {
 		s.stopTick()
@@ -111,8 +114,8 @@
 	s.configurations.stop()
 }
 
-// IsAcceptor reports whether this node holds votes of any shard, or may come to
-// hold them by a configuration whose commit it has not read.
+// IsAcceptor reports whether this node is an acceptor of any shard, or may be one by a configuration
+// whose commit it has not read yet.
 func (s *ClaimSet) IsAcceptor() bool {
 	self := s.config.Members.Self().ID()
 	for shard := range s.config.Shards {
@@ -124,21 +127,22 @@
 	return false
 }
 
-// acceptorAhead reports whether the shard's acceptor here may hold votes that
-// the known configuration does not tell of.
+// acceptorAhead reports whether the shard's acceptor on this node may hold votes in a configuration
+// newer than the cached one.
 func (s *ClaimSet) acceptorAhead(shard int) bool {
-	// One that is not known has epoch 0, before all others.
+	// If none is cached, the epoch is 0, which precedes all others.
 	current, _ := s.configurations.get(shard)
 	return s.acceptors[shard].aheadOf(current.Epoch, s.configurations.lastRead())
 }
 
-// install refuses proposals while the node is being stopped: one made from an
-// older list of members would leave the shard without this acceptor's votes.
+// install passes a page of a proposal to the acceptor. It refuses all while the node is draining: a
+// proposal made from an older list of members would make this node an acceptor, and the shard would
+// lose these votes when the node leaves.
 func (s *ClaimSet) install(a *acceptor, request InstallRequest) bool {
 	return !s.config.Members.Self().Draining && a.install(request, s.config.Clock.Now())
 }
 
-// Keys returns the number of keys this node holds votes for.
+// Keys returns the number of keys that this node holds votes for.
 func (s *ClaimSet) Keys() int {
 	total := 0
 	for _, acceptor := range s.acceptors {
@@ -147,7 +151,7 @@
 	return total
 }
 
-// register connects the acceptors to the transport.
+// register registers the acceptors' message handlers with the transport.
 func (s *ClaimSet) register() {
 	transport := s.config.Transport
 	transport.Handle(VoteRequest{}, func(_ string, message peer.Message, reply func(peer.Message, error)) {
@@ -189,7 +193,7 @@
 	})
 }
 
-// dispatch runs a handler on the acceptor of the shard, if there is such a shard.
+// dispatch replies with what handle returns for the shard's acceptor, or with errNoSuchShard.
 func (s *ClaimSet) dispatch(id ConfigurationID, reply func(peer.Message, error), handle func(*acceptor) peer.Message) {
 	if id.Shard < 0 || id.Shard >= len(s.acceptors) {
 		reply(nil, errNoSuchShard)
@@ -198,7 +202,7 @@
 	reply(handle(s.acceptors[id.Shard]), nil)
 }
 
-// jitter returns a random duration from half to one and a half of the mean.
+// jitter returns a random duration between 0.5 and 1.5 times the mean.
 func (s *ClaimSet) jitter(mean time.Duration) time.Duration {
 	s.randomMutex.Lock()
 	defer s.randomMutex.Unlock()
--- a/internal/claims/configuration.go
+++ b/internal/claims/configuration.go
@@ -13,13 +13,13 @@
 	"github.com/hatchplank/hatchplank/internal/membership"
 )
 
-// AcceptorsPerShard is the number of nodes that hold a shard's votes when
-// enough nodes live. Five, spread over the zones, stand the loss of any two of
-// them without the key-value service's help. With fewer nodes the largest odd
-// number is taken: an even one stands no more losses.
+// AcceptorsPerShard is the number of acceptors of a shard when enough nodes are live. Five acceptors,
+// spread over the zones, tolerate the failure of any two without a reconfiguration, which would need
+// the key-value service. With fewer nodes, a shard has the largest possible odd number of acceptors:
+// one more, an even number, would tolerate no more failures.
 const AcceptorsPerShard = 5
 
-// acceptorCount returns how many acceptors a shard has among so many nodes.
+// acceptorCount returns how many acceptors a shard has in a cluster of so many nodes.
 func acceptorCount(nodes int) int {
 	count := min(nodes, AcceptorsPerShard)
 	if count > 0 && count%2 == 0 {
@@ -28,34 +28,37 @@
 	return count
 }
 
-// configurationPrefix is where configurations are kept in the key-value
-// service, one key a shard.
+// configurationPrefix is the prefix of the configurations' keys in the key-value service, one key per
+// shard.
 const configurationPrefix = "claims/"
 
-// Configuration is a shard's set of acceptors at an epoch.
+// Configuration is the set of a shard's acceptors in one epoch. It is stored in the key-value service
+// as JSON.
 type Configuration struct {
 	Epoch uint64
 	Token string
-	// Acceptors in order of name. Empty: the shard rests in the key-value
-	// service, in pages under its snapshot prefix.
+	// Acceptors are sorted by member id. If there are none, the shard's entries are stored in the
+	// key-value service as a snapshot, in pages under the shard's snapshot prefix.
 	Acceptors []membership.Member
-	// SnapshotPages counts the pages of a resting shard.
+	// SnapshotPages is the number of pages of the snapshot.
 	SnapshotPages int
-	// QuarantineUntil is set when the shard's votes were lost.
+	// QuarantineUntil is the time until which new keys are refused. It is set when the shard's votes
+	// were lost.
 	QuarantineUntil time.Time
 }
 
-// writeQuorum is how many acceptors must vote for an attempt.
+// writeQuorum is the number of acceptors that must vote for an attempt: a majority.
 func (c Configuration) writeQuorum() int { return len(c.Acceptors)/2 + 1 }
 
-// sealQuorum is how many acceptors must be sealed so that each write quorum
-// has one of them.
+// sealQuorum is the number of acceptors that must be sealed so that every write quorum includes at
+// least one of them.
 func (c Configuration) sealQuorum() int { return len(c.Acceptors) - c.writeQuorum() + 1 }
 
 func (c Configuration) id(shard int) ConfigurationID {
 	return ConfigurationID{Shard: shard, Epoch: c.Epoch, Token: c.Token}
 }
 
+// has reports whether the member is one of the acceptors.
 func (c Configuration) has(memberID string) bool {
 	return slices.ContainsFunc(c.Acceptors, func(m membership.Member) bool { return m.ID() == memberID })
 }
@@ -91,13 +94,13 @@
 	return c, err
 }
 
-// shardOf returns the shard a key belongs to.
+// shardOf returns the shard that a key belongs to.
 func shardOf(key Key, shards int) int {
 	digest := xxhash.Sum64String(key.Tenant + "\x00" + key.Value)
 	return int(digest % uint64(shards))
 }
 
-// rank returns the members in order of rendezvous hash for a shard.
+// rank returns the members sorted by their rendezvous hash for a shard, highest first.
 func rank(shard int, members []membership.Member) []membership.Member {
 	type scored struct {
 		score  uint64
@@ -124,8 +127,9 @@
 	return ranked
 }
 
-// chooseAcceptors keeps what is alive of the current acceptors and fills up by
-// rank, from zones that have none yet where possible.
+// chooseAcceptors returns a shard's acceptors for the members, sorted by member id. It keeps the current
+// acceptors that are still members and not draining, then adds members in order of rank, first from
+// zones that have no acceptor yet.
 func chooseAcceptors(shard int, current []membership.Member, members []membership.Member) []membership.Member {
 	candidates := rank(shard, withoutDraining(members))
 	wanted := acceptorCount(len(candidates))
@@ -142,6 +146,8 @@
 	return chosen
 }
 
+// addAcceptors adds candidates to the chosen acceptors until there are as many as wanted. With
+// newZoneOnly, only candidates from zones without an acceptor are added.
 func addAcceptors(chosen, candidates []membership.Member, wanted int, newZoneOnly bool) []membership.Member {
 	for _, candidate := range candidates {
 		if len(chosen) >= wanted {
--- a/internal/claims/configurationcache.go
+++ b/internal/claims/configurationcache.go
@@ -10,34 +10,34 @@
 
 var errNoSuchShard = errors.New("no such claim shard")
 
-// minReadBackoff is the mean pause before configurations are read again; it
-// doubles with each failure up to maxReadBackoff, so that an outage is not
-// answered by all nodes' reading.
+// minReadBackoff is the mean pause before the configurations are read again after the watch was lost
+// or a read failed. It doubles with each failed read up to maxReadBackoff, so that in an outage the
+// key-value service is not loaded with the reads of all nodes.
 const (
 	minReadBackoff = 500 * time.Millisecond
 	maxReadBackoff = 16 * time.Second
 )
 
-// readBackoff is the mean pause after a number of failed readings.
+// readBackoff returns the mean pause before the next read after a number of failed ones.
 func readBackoff(failures int) time.Duration {
 	return min(minReadBackoff<<min(failures, 10), maxReadBackoff)
 }
 
-// keyValueTimeout bounds one call to the key-value service.
+// keyValueTimeout is the time limit of one call to the key-value service.
 const keyValueTimeout = 2 * time.Second
 
-// configurationCache follows the shards' configurations in the key-value
-// service and keeps the newest of each through outages.
+// configurationCache watches the shards' configurations in the key-value service and caches the
+// newest one of each shard, so that claims work during an outage of the service.
 type configurationCache struct {
 	set *ClaimSet
 
 	mutex  sync.Mutex
 	cached []cachedConfiguration
 	loaded bool
-	// readStartedAt is when the newest complete reading began; zero: none.
+	// readStartedAt is the start of the latest successful read; zero if there was none.
 	readStartedAt time.Time
 	stopped       bool
-	// failures to read since the newest reading.
+	// failures counts the failed reads since the latest successful one.
 	failures int
 	unwatch  func()
 }
@@ -62,7 +62,7 @@
 	}
 }
 
-// get returns a shard's newest known configuration.
+// get returns a shard's cached configuration, and whether there is one.
 func (c *configurationCache) get(shard int) (Configuration, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -70,14 +70,15 @@
 	return entry.configuration, entry.exists
 }
 
-// isLoaded reports whether the configurations were read at least once.
+// isLoaded reports whether the configurations have been read at least once.
 func (c *configurationCache) isLoaded() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.loaded
 }
 
-// observe takes a configuration seen in the key-value service.
+// observe caches a configuration read from or committed to the key-value service, if it is newer than
+// the cached one, and notifies the shard's acceptor.
 func (c *configurationCache) observe(shard int, configuration Configuration) {
 	if !c.store(shard, configuration) {
 		return
@@ -85,6 +86,7 @@
 	c.set.acceptors[shard].observeCommitted(configuration.id(shard))
 }
 
+// store caches a configuration and reports whether it is newer than the one cached before.
 func (c *configurationCache) store(shard int, configuration Configuration) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -96,7 +98,7 @@
 	return true
 }
 
-// read learns all configurations and then follows their changes.
+// read reads all configurations, then watches them for changes. It retries after a backoff.
 func (c *configurationCache) read() {
 	if c.isStopped() {
 		return
@@ -110,12 +112,12 @@
 	})
 }
 
-// refresh learns all configurations once more, for a caller that must know
-// whether a change was missed or never made. A failure leaves them as they are.
+// refresh reads all configurations once, for a caller that must know whether the watch has not yet
+// delivered a change or the change was never committed. A failed read leaves the cache unchanged.
 func (c *configurationCache) refresh() {
 	c.readAll(func(_ int64, err error) {
 		if err != nil {
-			c.set.config.Logger.Debug().Err(err).Msg("claim configurations not refreshed")
+			c.set.config.Logger.Debug().Err(err).Msg("could not refresh claim configurations")
 		}
 	})
 }
@@ -133,13 +135,14 @@
 	})
 }
 
-// lastRead returns when the newest complete reading began; zero: none.
+// lastRead returns the start of the latest successful read; zero if there was none.
 func (c *configurationCache) lastRead() time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.readStartedAt
 }
 
+// scheduleRead schedules a read after a backoff.
 func (c *configurationCache) scheduleRead() {
 	c.mutex.Lock()
 	pause := readBackoff(c.failures)
@@ -148,6 +151,7 @@
 	c.set.config.Clock.AfterFunc(c.set.jitter(pause), c.read)
 }
 
+// recordRead resets the backoff after a successful read that began at startedAt.
 func (c *configurationCache) recordRead(startedAt time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -182,9 +186,10 @@
 	}
 }
 
-// Lost implements outside.WatchHandler.
+// Lost implements outside.WatchHandler. It reads all configurations again and starts a new watch.
 func (c *configurationCache) Lost(error) { c.scheduleRead() }
 
+// observePair decodes and observes a configuration, ignoring keys that name no shard.
 func (c *configurationCache) observePair(pair outside.KeyValue) {
 	shard, ok := shardOfConfigurationKey(pair.Key)
 	if !ok || shard >= len(c.cached) {
@@ -192,7 +197,7 @@
 	}
 	configuration, err := decodeConfiguration(pair.Value)
 	if err != nil {
-		c.set.config.Logger.Error().Err(err).Str("key", pair.Key).Msg("claim configuration can't be read")
+		c.set.config.Logger.Error().Err(err).Str("key", pair.Key).Msg("claim configuration cannot be decoded")
 		return
 	}
 	c.observe(shard, configuration)
--- a/internal/claims/livemembers.go
+++ b/internal/claims/livemembers.go
@@ -2,15 +2,15 @@
 
 import "github.com/hatchplank/hatchplank/internal/membership"
 
-// liveMembers is an index of the members that may be acceptors, so that a
-// shard that needs no change is recognised without ranking all members.
+// liveMembers is an index of the members that may be acceptors. With it, a shard that needs no change
+// is recognised without ranking all members.
 type liveMembers struct {
 	members []membership.Member
-	// incarnations by name; draining members are not in it.
+	// incarnations maps the names of members that are not draining to their incarnations.
 	incarnations map[string]string
 }
 
-// update makes the index that of the members.
+// update rebuilds the index from the members.
 func (l *liveMembers) update(members []membership.Member) {
 	l.members = members
 	if l.incarnations == nil {
@@ -24,8 +24,8 @@
 	}
 }
 
-// retainsAcceptors reports whether chooseAcceptors would choose the current acceptors
-// again: they are as many as wanted, live, and not draining.
+// retainsAcceptors reports whether chooseAcceptors would choose the current acceptors again: there are
+// as many as wanted, and all are live and not draining.
 func (l *liveMembers) retainsAcceptors(current Configuration) bool {
 	if len(current.Acceptors) != acceptorCount(len(l.incarnations)) {
 		return false
--- a/internal/claims/livemembers_test.go
+++ b/internal/claims/livemembers_test.go
@@ -21,7 +21,7 @@
 	return members
 }
 
-// TestRetainsAcceptors compares the index with the choice over all members.
+// TestRetainsAcceptors compares the index with the result of chooseAcceptors.
 func TestRetainsAcceptors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before, after := drawMembers(t), drawMembers(t)
@@ -34,13 +34,13 @@
 		live.update(after)
 		retained := live.retainsAcceptors(current)
 		if changes := needsChange(current, chooseAcceptors(1, current.Acceptors, after)); retained == changes {
-			t.Fatalf("kept %v, needs change %v: %v among %v", retained, changes, current.Acceptors, after)
+			t.Fatalf("retained %v, needs change %v: %v among %v", retained, changes, current.Acceptors, after)
 		}
 	})
 }
 
-// BenchmarkCheckShards is a tick over 256 shards of 840 members that need no
-// change, as it was and as it is.
+// BenchmarkCheckShards compares the index with chooseAcceptors for a tick over 256 shards that need no
+// change, in a cluster of 840 members.
 func BenchmarkCheckShards(b *testing.B) {
 	const shards, count = 256, 840
 	var members []membership.Member
@@ -51,7 +51,7 @@
 	for shard := range shards {
 		configurations[shard].Acceptors = chooseAcceptors(shard, nil, members)
 	}
-	b.Run("choice over all members", func(b *testing.B) {
+	b.Run("chooseAcceptors over all members", func(b *testing.B) {
 		for b.Loop() {
 			for shard := range shards {
 				needsChange(configurations[shard], chooseAcceptors(shard, configurations[shard].Acceptors, members))
@@ -69,7 +69,7 @@
 	})
 }
 
-// TestReadBackoff checks that the pauses grow to a bound.
+// TestReadBackoff checks that the backoff stays within its bounds and grows to the maximum.
 func TestReadBackoff(t *testing.T) {
 	total := time.Duration(0)
 	for failures := range 100 {
@@ -80,6 +80,6 @@
 		total += pause
 	}
 	if total < 90*maxReadBackoff {
-		t.Errorf("100 failed readings take only %s", total)
+		t.Errorf("100 failed reads take only %s", total)
 	}
 }
--- a/internal/claims/merge.go
+++ b/internal/claims/merge.go
@@ -6,18 +6,18 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// keyTally gathers what the sealed acceptors hold of one key.
+// keyTally counts the votes of the sealed acceptors for one key.
 type keyTally struct {
-	entry     KeyRecord
-	votes     map[outside.AttemptID]int
+	entry KeyRecord
+	votes map[outside.AttemptID]int
+	// contested: an acceptor holds the key as contested from an earlier merge.
 	contested bool
-	// recordedBy is the holder whose outcome is known.
+	// recordedBy is the holder whose outcome is recorded; empty if none is.
 	recordedBy outside.AttemptID
 }
 
-// mergeEntries unites the entries of sealed acceptors, in order of key. A key
-// whose winner can't be told stays contested: it keeps all its holders, and no
-// new attempt wins it.
+// mergeEntries merges the entries collected from the sealed acceptors, sorted by key. A key whose
+// winner is uncertain stays contested: it keeps all its possible holders, and no new attempt wins it.
 func mergeEntries(collected [][]KeyRecord, configuration Configuration) []KeyRecord {
 	tallies := map[Key]*keyTally{}
 	for _, entries := range collected {
@@ -44,6 +44,7 @@
 	return merged
 }
 
+// add counts one acceptor's entry.
 func (t *keyTally) add(entry KeyRecord) {
 	t.entry.Age = max(t.entry.Age, entry.Age)
 	if entry.Outcome != nil && len(entry.Holders) == 1 {
@@ -56,7 +57,7 @@
 	}
 }
 
-// resolveHolders returns the winner if it is certain, else all that may have won.
+// resolveHolders returns the winner if it is certain, otherwise all attempts that may have won.
 func (t *keyTally) resolveHolders(writeQuorum int) []outside.AttemptID {
 	if t.recordedBy != "" {
 		return []outside.AttemptID{t.recordedBy}
--- a/internal/claims/messages.go
+++ b/internal/claims/messages.go
@@ -7,31 +7,31 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// VoteStatus is an acceptor's answer to a VoteRequest.
+// VoteStatus is the status in an acceptor's reply to a VoteRequest.
 type VoteStatus uint8
 
-// The answers of an acceptor.
+// The statuses of a vote.
 const (
-	// VoteGranted: the acceptor records the key for the attempt.
+	// VoteGranted: the acceptor has recorded the key for the attempt.
 	VoteGranted VoteStatus = iota
-	// VoteHeld: another attempt came first, or the key is contested.
+	// VoteHeld: another attempt holds the key, or the key is contested.
 	VoteHeld
 	// VoteConflict: the key is held for a request with another digest.
 	VoteConflict
-	// VoteWrongEpoch: the acceptor is not active in that configuration.
+	// VoteWrongEpoch: the acceptor is not active in that configuration, or is sealed.
 	VoteWrongEpoch
-	// VoteQuarantined: the shard lost its records and waits for old keys to
-	// expire.
+	// VoteQuarantined: the shard's votes were lost; new keys are refused for the quarantine period,
+	// in which old keys expire.
 	VoteQuarantined
-	// VoteFull: the acceptor holds as many keys as it may.
+	// VoteFull: the acceptor holds the maximum number of keys.
 	VoteFull
 )
 
-// ConfigurationID names one configuration of a shard.
+// ConfigurationID identifies one configuration of a shard.
 type ConfigurationID struct {
 	Shard int
 	Epoch uint64
-	// Token tells apart two proposals of the same epoch.
+	// Token distinguishes proposals for the same epoch.
 	Token string
 }
 
@@ -43,14 +43,14 @@
 	Digest        uint64
 }
 
-// VoteReply answers a VoteRequest or an OutcomeQuery.
+// VoteReply is the reply to a VoteRequest.
 type VoteReply struct {
 	Status  VoteStatus
 	Holder  outside.AttemptID
 	Outcome *Outcome
 }
 
-// RecordRequest stores the outcome of the attempt that holds a key.
+// RecordRequest asks an acceptor to store the outcome of the attempt that holds a key.
 type RecordRequest struct {
 	Configuration ConfigurationID
 	Key           Key
@@ -59,29 +59,28 @@
 	Outcome       Outcome
 }
 
-// ReleaseRequest removes the vote for an attempt that never ran.
+// ReleaseRequest asks an acceptor to remove its vote for an attempt that never ran.
 type ReleaseRequest struct {
 	Configuration ConfigurationID
 	Key           Key
 	Attempt       outside.AttemptID
 }
 
-// Acknowledgement answers RecordRequest, ReleaseRequest and InstallRequest.
+// Acknowledgement is the reply to RecordRequest, ReleaseRequest, UnsealRequest and InstallRequest.
 type Acknowledgement struct {
 	OK bool
 }
 
-// SealRequest ends voting in a configuration at one acceptor and reads its
-// entries, page by page.
+// SealRequest stops voting in a configuration at one acceptor and reads one page of its entries.
 type SealRequest struct {
 	Configuration ConfigurationID
-	// Token of the proposal for which the acceptor is sealed.
+	// Token identifies the proposal for which the acceptor is sealed.
 	Token string
 	// Page counts from 0.
 	Page int
 }
 
-// UnsealRequest takes back a seal whose proposal was certainly not committed.
+// UnsealRequest removes the seal of a proposal that was certainly not committed.
 type UnsealRequest struct {
 	Configuration ConfigurationID
 	Token         string
@@ -89,15 +88,15 @@
 
 // SealReply carries one page of a sealed acceptor's entries.
 type SealReply struct {
-	// OK is false when the acceptor does not hold that configuration.
+	// OK is false if the acceptor is not active in that configuration.
 	OK      bool
 	Entries []KeyRecord
-	// More pages follow.
+	// More reports that more pages follow.
 	More bool
 }
 
-// InstallRequest hands entries of a proposed configuration to an acceptor. It
-// takes part in votes only once the configuration is committed.
+// InstallRequest transfers one page of a proposed configuration's entries to an acceptor. The acceptor
+// votes in the configuration only once it is committed.
 type InstallRequest struct {
 	Configuration ConfigurationID
 	// Page counts from 0; Last marks the final page.
@@ -107,19 +106,20 @@
 	QuarantineUntil time.Time
 }
 
-// KeyRecord is one key's record, as transferred between configurations.
+// KeyRecord is an acceptor's record of one key, as stored and as transferred between configurations.
 type KeyRecord struct {
 	Key    Key
 	Digest uint64
-	// Holders that may have won the key; more than one: contested.
+	// Holders are the claim rounds that may have won the key; if there is more than one, the key is
+	// contested.
 	Holders []outside.AttemptID
 	Outcome *Outcome
-	// ClaimedAt is the first vote by the acceptor's own clock, which says nothing
-	// to another node.
+	// ClaimedAt is the time of the first vote by the acceptor's own clock. It means nothing on another
+	// node.
 	ClaimedAt time.Time
-	// Age of the first vote when the record was handed over. The time that it
-	// rests in the key-value service is not counted, so that no clock there can
-	// make a key be forgotten early.
+	// Age is the age of the first vote when the record was transferred. Time that a record spends in a
+	// snapshot in the key-value service is not counted, so that no clock difference can make a key
+	// expire early.
 	Age time.Duration
 }
 
--- a/internal/claims/planned_shutdown_test.go
+++ b/internal/claims/planned_shutdown_test.go
@@ -17,9 +17,9 @@
 	"github.com/hatchplank/hatchplank/internal/standin/keyvalue"
 )
 
-var _ = Describe("a planned stop", func() {
-	// Guards against a shard whose only acceptor has left: its keys were refused for the
-	// whole quarantine.
+var _ = Describe("a planned shutdown", func() {
+	// A node that shut down between the commit of a configuration and its reply was the shard's only
+	// acceptor: the votes were lost and the shard's keys refused for the whole quarantine.
 	It("waits while a configuration that names the node may be committed", func() {
 		cluster := newTestCluster(9, 0)
 		node := cluster.start("node-0", "zone-0", 1)
@@ -31,7 +31,8 @@
 		Expect(node.set.IsAcceptor()).To(BeTrue())
 	})
 
-	// The same where a peer, which knows of the commit, has asked for a vote.
+	// The same failure where the node's acceptor was activated by the vote request of a peer that had
+	// read the commit.
 	It("waits while it votes in a configuration that it has not read", func() {
 		cluster := newTestCluster(12, 1)
 		node := cluster.nodes["node-0"]
@@ -42,9 +43,9 @@
 		Expect(node.set.acceptorAhead(0)).To(BeTrue())
 	})
 
-	// Guards against a proposal that is installed at a node which has checked already that
-	// it holds nothing.
-	It("takes no further configuration", func() {
+	// A proposal must not be installed at a node that has already checked that it holds no votes and
+	// is about to leave.
+	It("accepts no further configuration", func() {
 		cluster := newTestCluster(10, 1)
 		node := cluster.nodes["node-0"]
 		node.member.Draining = true
@@ -53,7 +54,7 @@
 		Expect(cluster.install(node, install)).To(Equal(Acknowledgement{OK: false}))
 	})
 
-	It("does not wait for a proposal that was given up", func() {
+	It("does not wait for an abandoned proposal", func() {
 		cluster := newTestCluster(11, 2)
 		node := cluster.nodes["node-0"]
 		current, _ := node.set.configurations.get(0)
@@ -65,14 +66,13 @@
 		Expect(node.set.IsAcceptor()).To(BeFalse())
 	})
 
-	// Guards against both failures that a rolling restart could bring: a key that runs twice,
-	// and a shard that has lost its votes.
-	It("loses no votes and runs no key twice, whatever else happens", func() {
+	// A rolling restart must neither run a key twice nor lose a shard's votes.
+	It("loses no votes and runs no key twice under random faults", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) { newRollingRestart(t).run(t) })
 	})
 })
 
-// storedConfigurationHas reports whether the store's record of the shard names the member.
+// storedConfigurationHas reports whether the member is an acceptor in the shard's stored configuration.
 func (c *testCluster) storedConfigurationHas(shard int, member membership.Member) bool {
 	record := c.store.Range(configurationKey(shard))
 	if len(record.KeyValues) == 0 {
@@ -82,7 +82,7 @@
 	return err == nil && configuration.has(member.ID())
 }
 
-// install hands a proposal to a node and returns its answer.
+// install sends a proposal to a node and returns its reply.
 func (c *testCluster) install(node *testNode, request InstallRequest) any {
 	var answer any
 	proposer := c.peers.Transport(simulation.NewProcess(c.loop, "proposer"))
@@ -91,23 +91,24 @@
 	return answer
 }
 
-// rollingRestart starts and stops nodes in order, over and over, while the store and the
-// network fail. Nodes learn of each other's state with a delay.
+// rollingRestart starts nodes and shuts them down in order, repeatedly, while the store and the network
+// fail. Nodes observe changes of the members with a delay.
 type rollingRestart struct {
 	*testCluster
 	random     *rand.Rand
 	started    int
 	claimCount int
-	// memberVersion counts the changes of the members.
+	// memberVersion is the number of member lists published.
 	memberVersion int
-	// maxLag is how late a node's view of the members may be.
+	// maxLag bounds the delay of a node's view of the members.
 	maxLag time.Duration
-	// handoverTimedOut: a node left after longestHandover, as a process does that can't hand over.
+	// handoverTimedOut: a node left after maxHandover with votes, as a process does that cannot hand
+	// over.
 	handoverTimedOut bool
 }
 
 const (
-	// maxHandover is how long a stopping node waits at most.
+	// maxHandover is how long a node that shuts down waits for its handover.
 	maxHandover          = 2 * time.Minute
 	handoverPollInterval = 200 * time.Millisecond
 )
@@ -120,6 +121,8 @@
 	}
 }
 
+// run performs random steps, ends all faults and checks that no key ran twice. Unless a node left with
+// votes, it also checks that no shard has lost its votes.
 func (r *rollingRestart) run(t *rapid.T) {
 	for range rapid.IntRange(1, 3).Draw(t, "nodes") {
 		r.startNext()
@@ -139,7 +142,7 @@
 	}
 }
 
-// stabilise ends all faults, lets the stops end and starts one more node.
+// stabilise ends all faults, waits until all shutdowns have finished and starts one more node.
 func (r *rollingRestart) stabilise() {
 	r.network.ConditionsOf = func(string, string) simulation.Conditions {
 		return simulation.Conditions{Delay: simulation.DefaultDelay}
@@ -150,7 +153,7 @@
 	r.loop.RunFor(time.Minute)
 }
 
-// checkNewKeysGranted claims fresh keys of all shards at the newest node.
+// checkNewKeysGranted claims 12 new keys, spread over the shards, at the newest node.
 func (r *rollingRestart) checkNewKeysGranted(t *rapid.T) {
 	newest := r.members[len(r.members)-1].Name
 	for value := range 12 {
@@ -161,6 +164,7 @@
 	}
 }
 
+// step shuts down or starts nodes, or starts or ends a fault, then claims a key.
 func (r *rollingRestart) step() {
 	switch r.random.IntN(12) {
 	case 0, 1:
@@ -190,6 +194,7 @@
 	r.loop.RunFor(time.Duration(r.random.IntN(4000)) * time.Millisecond)
 }
 
+// startNext starts a node unless there are four.
 func (r *rollingRestart) startNext() {
 	if len(r.nodes) >= 4 {
 		return
@@ -207,7 +212,8 @@
 	}
 }
 
-// stop drains a node, as a process that is told to stop does.
+// stop drains a node, then kills it once it is no acceptor any more or maxHandover has passed, as a
+// planned shutdown of a process does.
 func (r *rollingRestart) stop(node *testNode) {
 	if node.member.Draining {
 		return
@@ -234,8 +240,8 @@
 	node.process.AfterFunc(handoverPollInterval, poll)
 }
 
-// publishMembers tells all nodes the members, each after a delay of its own. A node never goes
-// back to an older state.
+// publishMembers sends the members to all nodes, each with its own random delay. A node ignores a list
+// older than its latest one.
 func (r *rollingRestart) publishMembers() {
 	members := r.members
 	r.memberVersion++
@@ -252,8 +258,8 @@
 	}
 }
 
-// claimRandom claims a key at up to two nodes; one in five of those that are granted it
-// releases it instead of running.
+// claimRandom claims a random key at up to two nodes. One in five granted claims is released instead of
+// being run and recorded.
 func (r *rollingRestart) claimRandom() {
 	key := Key{Tenant: "alpha", Value: fmt.Sprint(r.random.IntN(5))}
 	for range r.random.IntN(3) {
--- a/internal/claims/proposer.go
+++ b/internal/claims/proposer.go
@@ -9,16 +9,17 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// Pauses between the rounds of a claim.
+// Mean pauses between the rounds of a claim.
 const (
-	// retryDelay after a round that failed for want of answers.
+	// retryDelay is the pause after a round without a majority.
 	retryDelay = 100 * time.Millisecond
-	// outcomeRetryDelay before the holder's outcome is asked for again.
+	// outcomeRetryDelay is the pause before the holder's outcome is requested again, and before a
+	// failed write of an outcome is retried.
 	outcomeRetryDelay = 250 * time.Millisecond
 )
 
-// grantedRounds maps a granted attempt to the round that won, under which the
-// acceptors know it.
+// grantedRounds maps granted attempts to the rounds that won. The acceptors record an attempt under
+// the holder id of that round.
 type grantedRounds struct {
 	mutex  sync.Mutex
 	rounds map[outside.AttemptID]grantedRound
@@ -39,7 +40,7 @@
 	g.rounds[attempt] = round
 }
 
-// take removes and returns the winning round of an attempt.
+// take removes and returns the winning round of an attempt, and whether there was one.
 func (g *grantedRounds) take(attempt outside.AttemptID) (grantedRound, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -48,9 +49,8 @@
 	return round, found
 }
 
-// claimOperation is one Claim call in progress. It goes through rounds; each
-// round has a holder id of its own, so that a late release of one round never
-// takes away a vote of the next.
+// claimOperation is one Claim call in progress. It runs rounds until it has a result; each round has
+// its own holder id, so that a delayed release of one round never removes a vote of the next.
 type claimOperation struct {
 	set      *ClaimSet
 	key      Key
@@ -64,7 +64,8 @@
 	finished   bool
 	round      *claimRound
 	roundCount int
-	// deadlineResult remembers the last answer of a holder.
+	// deadlineResult is the result to report at the deadline: Denied once another holder of the key
+	// has been observed, Unavailable before.
 	deadlineResult Result
 }
 
@@ -80,7 +81,8 @@
 	operation.startRound()
 }
 
-// expire ends the operation at its deadline.
+// expire ends the operation at its deadline, releases the current round's votes and reports
+// deadlineResult.
 func (o *claimOperation) expire() {
 	o.mutex.Lock()
 	round := o.round
@@ -95,7 +97,8 @@
 	o.done(result)
 }
 
-// startRound asks all acceptors for their votes.
+// startRound requests votes from all acceptors of the cached configuration, or tries again after a
+// pause if there are none.
 func (o *claimOperation) startRound() {
 	configuration, cached := o.set.configurations.get(o.shard)
 	if !cached || len(configuration.Acceptors) == 0 {
@@ -122,11 +125,12 @@
 	}
 }
 
+// scheduleRound starts the next round after a random pause around the delay.
 func (o *claimOperation) scheduleRound(delay time.Duration) {
 	o.set.config.Clock.AfterFunc(o.set.jitter(delay), o.startRound)
 }
 
-// handleReply counts one answer and ends the round when it is decided.
+// handleReply counts one reply and ends the round once it is decided.
 func (o *claimOperation) handleReply(round *claimRound, message peer.Message, err error) {
 	o.mutex.Lock()
 	if o.finished || round.closed || o.round != round {
@@ -146,7 +150,8 @@
 	o.finishRound(round, decision, result, final)
 }
 
-// resolve turns a decision into the operation's result, if it is final.
+// resolve returns the operation's result for a round's decision, and whether it is final. If another
+// attempt holds the key, the result is final once that attempt's outcome is recorded.
 func (o *claimOperation) resolve(round *claimRound, decision roundDecision) (Result, bool) {
 	switch decision {
 	case won:
@@ -162,7 +167,8 @@
 	}
 }
 
-// finishRound carries out what the end of a round asks for.
+// finishRound reports a final result, or releases the votes of a round that did not win and schedules
+// the next one.
 func (o *claimOperation) finishRound(round *claimRound, decision roundDecision, result Result, final bool) {
 	o.logRound(round, decision)
 	if decision == won {
@@ -182,8 +188,8 @@
 	o.scheduleRound(delay)
 }
 
-// logRound tells how a round ended and under which holder the acceptors know it, so that two runs of
-// one key can be traced to their votes.
+// logRound logs the decision of a round and the holder id under which the acceptors recorded it, so
+// that two runs of one key can be traced to their votes.
 func (o *claimOperation) logRound(round *claimRound, decision roundDecision) {
 	o.set.config.Logger.Debug().Int("shard", o.shard).Uint64("epoch", round.configuration.Epoch).
 		Str("attempt", string(o.attempt)).Str("holder", string(round.holder)).
@@ -191,7 +197,7 @@
 		Msg("claim round ended")
 }
 
-// abandon releases the votes of a round that was not won and never will be.
+// abandon closes a round that was not won and releases its votes.
 func (o *claimOperation) abandon(round *claimRound) {
 	if round == nil {
 		return
@@ -202,6 +208,7 @@
 	o.set.sendRelease(o.shard, round.configuration, o.key, round.holder)
 }
 
+// sendRelease asks all acceptors to release a round's votes, without waiting for replies.
 func (s *ClaimSet) sendRelease(shard int, configuration Configuration, key Key, holder outside.AttemptID) {
 	request := ReleaseRequest{Configuration: configuration.id(shard), Key: key, Attempt: holder}
 	for _, acceptor := range configuration.Acceptors {
--- a/internal/claims/reconfiguration.go
+++ b/internal/claims/reconfiguration.go
@@ -9,39 +9,42 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// Times of reconfiguration.
+// Delays and time limits of reconfigurations.
 const (
-	// rankDelay is how much later each next member in rank acts, so that a
-	// shard is repaired by one member unless that one fails.
+	// rankDelay is the additional wait of each member in the order of rank, so that a shard is
+	// repaired by one member unless that member fails.
 	rankDelay = 3 * time.Second
-	// lossGracePeriod is how long a shard's votes must be out of reach before they
-	// count as lost.
+	// lossGracePeriod is how long too few of a shard's acceptors must have been members before its
+	// votes count as lost.
 	lossGracePeriod = 60 * time.Second
-	// proposalTimeout is how long after a proposal's newest step it counts as
-	// one that may be committed. An acceptor sealed for longer asks for a new
-	// configuration.
+	// proposalTimeout is how long after its latest step a proposal may still be committed. The node
+	// of an acceptor that has been sealed for longer proposes a new configuration.
 	proposalTimeout = 5 * time.Second
-	// minRetryBackoff and maxRetry bound the pause after a failed try, which doubles.
+	// minRetryBackoff and maxRetryBackoff bound the mean pause after a failed reconfiguration, which
+	// doubles with each failure.
 	minRetryBackoff = time.Second
 	maxRetryBackoff = 8 * time.Second
-	// reconfigurationTimeout lets a stuck try be begun anew.
+	// reconfigurationTimeout is how long a reconfiguration may run before a new one replaces it.
 	reconfigurationTimeout = 15 * time.Second
 )
 
-// reconfigurationState is this node's view of a shard's need of repair.
+// reconfigurationState tracks this node's reconfigurations of one shard.
 type reconfigurationState struct {
-	// degradedSince is when the need was first seen; zero: none.
+	// degradedSince is when the shard was first observed to need a reconfiguration; zero: it needs
+	// none.
 	degradedSince time.Time
-	// unreachableSince is when sealing first failed for want of acceptors.
+	// unreachableSince is when sealing first failed because too few acceptors were members; zero if
+	// it has not.
 	unreachableSince time.Time
 	running          *reconfiguration
 	startedAt        time.Time
-	// failures since the need was first seen, and when to try again.
+	// failures counts the reconfigurations that have ended since degradedSince; the next may start at
+	// retryAt.
 	failures int
 	retryAt  time.Time
 }
 
-// tick checks each shard and repairs it if that is this node's turn.
+// tick checks all shards and starts the reconfigurations that are due at this node.
 func (s *ClaimSet) tick() {
 	if !s.configurations.isLoaded() || !s.membersSynchronised() {
 		return
@@ -54,8 +57,8 @@
 	}
 }
 
-// refreshWhileDraining reads the configurations while only that can tell a
-// draining node whether it holds votes.
+// refreshWhileDraining reads the configurations again if this node is draining and has an acceptor
+// that may hold votes in a configuration newer than the cached one: only a read can rule that out.
 func (s *ClaimSet) refreshWhileDraining() {
 	if !s.config.Members.Self().Draining {
 		return
@@ -72,6 +75,8 @@
 	return s.config.Synchronised == nil || s.config.Synchronised()
 }
 
+// checkShard starts a reconfiguration of the shard if it needs one and no other member should start it
+// first. A timed-out seal of this node's own acceptor is repaired without waiting for other members.
 func (s *ClaimSet) checkShard(shard int, live *liveMembers, now time.Time) {
 	current, _ := s.configurations.get(shard)
 	s.reconfigurationMutex.Lock()
@@ -101,7 +106,7 @@
 	state.running.start()
 }
 
-// needsChange reports whether the acceptors should be replaced.
+// needsChange reports whether the desired acceptors differ from the current ones.
 func needsChange(current Configuration, desired []membership.Member) bool {
 	if len(current.Acceptors) != len(desired) {
 		return true
@@ -114,8 +119,8 @@
 	return false
 }
 
-// repairRank is this node's place in the order in which members repair a shard;
-// draining members come in only when there are no others.
+// repairRank returns this node's position, from 0, in the order in which members repair a shard; -1 if
+// it is not among them. Draining members are included only if all members are draining.
 func (s *ClaimSet) repairRank(shard int, members []membership.Member) int {
 	candidates := withoutDraining(members)
 	if len(candidates) == 0 {
@@ -125,15 +130,15 @@
 	return slices.IndexFunc(rank(shard, candidates), func(m membership.Member) bool { return m.ID() == self })
 }
 
-// reconfiguration replaces a shard's acceptors: read the record, seal the old
-// acceptors, merge their entries, install them at the new ones, commit by
-// compare-and-swap. Each step begins when the one before has ended.
+// reconfiguration replaces a shard's acceptors: it reads the stored configuration, seals the old
+// acceptors, merges their entries, installs them at the new acceptors and commits the new
+// configuration by compare-and-swap. Each step begins after the previous one has ended.
 type reconfiguration struct {
 	set     *ClaimSet
 	shard   int
 	desired []membership.Member
 	token   string
-	// force the configuration even if its acceptors stay the same.
+	// force a new configuration even if its acceptors are the current ones.
 	force bool
 
 	current     Configuration
@@ -149,7 +154,7 @@
 	return &reconfiguration{set: s, shard: shard, desired: desired, token: token}
 }
 
-// start reads the record, which also proves that the key-value service answers
+// start reads the stored configuration. This also checks that the key-value service is available
 // before any acceptor is sealed.
 func (r *reconfiguration) start() {
 	r.set.config.KeyValues.Range(configurationKey(r.shard), keyValueTimeout, func(result outside.RangeResult, err error) {
@@ -160,7 +165,7 @@
 		if len(result.KeyValues) > 0 {
 			configuration, err := decodeConfiguration(result.KeyValues[0].Value)
 			if err != nil {
-				r.finish("record can't be read")
+				r.finish("configuration cannot be decoded")
 				return
 			}
 			r.current = configuration
@@ -171,6 +176,8 @@
 	})
 }
 
+// prepare ends the reconfiguration if the stored configuration needs none. Otherwise it collects the
+// shard's entries, from the current acceptors or the snapshot; a new shard has none.
 func (r *reconfiguration) prepare() {
 	r.desired = chooseAcceptors(r.shard, r.current.Acceptors, r.set.config.Members.Members())
 	if r.modRevision != 0 && !r.force && !needsChange(r.current, r.desired) {
@@ -188,7 +195,8 @@
 	}
 }
 
-// finish lets the next tick try again if there is still need.
+// finish ends the reconfiguration. A tick after the retry backoff starts another one if the shard
+// still needs it.
 func (r *reconfiguration) finish(reason string) {
 	r.set.reconfigurationMutex.Lock()
 	state := &r.set.reconfigurations[r.shard]
@@ -202,12 +210,13 @@
 		Str("reason", reason).Msg("claim shard reconfiguration ended")
 }
 
-// retryBackoff is the mean pause after a number of failed tries.
+// retryBackoff returns the mean pause after a number of failed reconfigurations.
 func retryBackoff(failures int) time.Duration {
 	return min(minRetryBackoff<<min(failures, 10), maxRetryBackoff)
 }
 
-// commit writes the new configuration by compare-and-swap.
+// commit writes the new configuration by compare-and-swap. If it was certainly not written, the old
+// acceptors are unsealed.
 func (r *reconfiguration) commit() {
 	key := configurationKey(r.shard)
 	transaction := outside.Transaction{
@@ -227,7 +236,8 @@
 	})
 }
 
-// readBack settles a write whose reply was lost, by its token.
+// readBack reads the stored configuration after a write whose outcome is unknown. The token in it
+// identifies the proposal that was committed.
 func (r *reconfiguration) readBack() {
 	key := configurationKey(r.shard)
 	r.set.config.KeyValues.Range(key, keyValueTimeout, func(result outside.RangeResult, err error) {
@@ -241,7 +251,7 @@
 		}
 		configuration, err := decodeConfiguration(result.KeyValues[0].Value)
 		if err != nil {
-			r.finish("record can't be read")
+			r.finish("configuration cannot be decoded")
 			return
 		}
 		r.set.configurations.observe(r.shard, configuration)
@@ -249,6 +259,7 @@
 	})
 }
 
+// onCommitted caches the new configuration and ends the reconfiguration.
 func (r *reconfiguration) onCommitted() {
 	r.set.config.Logger.Info().Int("shard", r.shard).Uint64("epoch", r.next.Epoch).
 		Int("acceptors", len(r.next.Acceptors)).Int("keys", len(r.entries)).Msg("claim shard reconfigured")
--- a/internal/claims/record.go
+++ b/internal/claims/record.go
@@ -25,14 +25,14 @@
 	record.start()
 }
 
-// MaxOutcomeBytes bounds the body kept of an outcome.
+// MaxOutcomeBytes is the maximum length of a recorded body; longer bodies are dropped.
 const MaxOutcomeBytes = 16 << 10
 
-// maxRecordTries bounds the tries to store an outcome.
+// maxRecordTries is the maximum number of tries to store an outcome.
 const maxRecordTries = 20
 
-// recordOperation stores an outcome at a majority, over changes of
-// configuration.
+// recordOperation stores an outcome at a majority of the shard's acceptors. Each try uses the newest
+// cached configuration.
 type recordOperation struct {
 	set     *ClaimSet
 	shard   int
@@ -63,6 +63,7 @@
 		})
 }
 
+// scheduleRetry tries again after a pause, up to maxRecordTries times in all.
 func (r *recordOperation) scheduleRetry() {
 	if r.tries >= maxRecordTries {
 		r.set.config.Logger.Warn().Int("shard", r.shard).Str("attempt", string(r.request.Attempt)).
@@ -72,7 +73,7 @@
 	r.set.config.Clock.AfterFunc(r.set.jitter(outcomeRetryDelay), r.start)
 }
 
-// recordTally counts the acknowledgements of one try.
+// recordTally counts the replies to one try.
 type recordTally struct {
 	operation *recordOperation
 	needed    int
@@ -83,6 +84,7 @@
 	accepted int
 }
 
+// count counts one reply and schedules a retry once all have arrived and too few accepted.
 func (t *recordTally) count(accepted bool) {
 	t.mutex.Lock()
 	t.replies++
--- a/internal/claims/restore_test.go
+++ b/internal/claims/restore_test.go
@@ -11,15 +11,15 @@
 	. "github.com/onsi/gomega"
 )
 
-// restoredCluster changes its members at random, before and after its key-value service is
-// restored from a backup.
+// restoredCluster is a cluster whose members change at random, before and after its key-value service
+// is restored from a backup.
 type restoredCluster struct {
 	*testCluster
 	random  *rand.Rand
 	started int
 }
 
-// changeMember kills a node or starts another one, and lets some time pass.
+// changeMember kills a node or starts a new one, then runs the loop for up to 20 s.
 func (c *restoredCluster) changeMember() {
 	name := fmt.Sprintf("node-%d", c.random.IntN(5))
 	if c.random.IntN(2) == 0 && c.nodes[name] != nil && len(c.nodes) > 3 {
@@ -31,7 +31,7 @@
 	c.loop.RunFor(time.Duration(c.random.IntN(20_000)) * time.Millisecond)
 }
 
-// changeMembers makes up to four.
+// changeMembers makes one to four changes.
 func (c *restoredCluster) changeMembers() {
 	for range 1 + c.random.IntN(4) {
 		c.changeMember()
@@ -39,7 +39,7 @@
 }
 
 var _ = Describe("a restore of the key-value service from a backup", func() {
-	// The configuration that a key was claimed in is lost, and its epoch is given out again.
+	// The restore loses the configuration in which the key was claimed, and its epoch is assigned again.
 	It("lets no key run twice", func() {
 		for seed := range uint64(40) {
 			cluster := &restoredCluster{testCluster: newTestCluster(seed+1, 5), random: rand.New(rand.NewPCG(seed, 5))}
--- a/internal/claims/round.go
+++ b/internal/claims/round.go
@@ -5,17 +5,19 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// claimRound counts the votes of one configuration.
+// claimRound counts the replies to one round of vote requests in one configuration.
 type claimRound struct {
 	configuration Configuration
 	holder        outside.AttemptID
 	replies       int
 	granted       int
 	conflicts     int
+	// heldBy counts VoteHeld replies by holder; the empty holder stands for a contested key.
 	heldBy        map[outside.AttemptID]int
 	outcome       *Outcome
 	outcomeHolder outside.AttemptID
-	closed        bool
+	// closed: the round is decided or abandoned; later replies are ignored.
+	closed bool
 }
 
 func (r *claimRound) count(message peer.Message, err error) {
@@ -38,6 +40,7 @@
 	}
 }
 
+// roundDecision is the state of a round's vote count.
 type roundDecision uint8
 
 const (
@@ -48,7 +51,7 @@
 	noMajority
 )
 
-// String is the decision's word in logs.
+// String returns the decision as it appears in logs.
 func (d roundDecision) String() string {
 	switch d {
 	case won:
@@ -64,7 +67,7 @@
 	}
 }
 
-// decide looks at the votes so far.
+// decide returns the decision on the replies counted so far.
 func (r *claimRound) decide() roundDecision {
 	quorum := r.configuration.writeQuorum()
 	if r.granted >= quorum {
@@ -87,6 +90,8 @@
 	return undecided
 }
 
+// majorityHolder returns the holder that has recorded an outcome or that a write quorum reported;
+// empty if there is none.
 func (r *claimRound) majorityHolder() outside.AttemptID {
 	if r.outcome != nil {
 		return r.outcomeHolder
--- a/internal/claims/seed_test.go
+++ b/internal/claims/seed_test.go
@@ -1,3 +1,3 @@
 package claims
 
-import _ "github.com/hatchplank/hatchplank/internal/fixedseed" // property tests repeat
+import _ "github.com/hatchplank/hatchplank/internal/fixedseed" // fixes the seed
--- a/internal/claims/transfer.go
+++ b/internal/claims/transfer.go
@@ -16,7 +16,7 @@
 
 func isNotApplied(err error) bool { return errors.Is(err, outside.ErrNotApplied) }
 
-// sealCollector collects the entries of the old acceptors.
+// sealCollector collects the entries of the old acceptors, one list per acceptor.
 type sealCollector struct {
 	reconfiguration *reconfiguration
 
@@ -25,7 +25,7 @@
 	collected [][]KeyRecord
 }
 
-// sealAll seals every old acceptor; a seal quorum is enough to go on.
+// sealAll seals all old acceptors; a seal quorum is enough to proceed.
 func (r *reconfiguration) sealAll() {
 	collector := &sealCollector{reconfiguration: r}
 	for _, acceptor := range r.current.Acceptors {
@@ -33,6 +33,7 @@
 	}
 }
 
+// requestPage requests one page of an acceptor's entries, then the following ones.
 func (c *sealCollector) requestPage(acceptor membership.Member, page int, previous []KeyRecord) {
 	r := c.reconfiguration
 	request := SealRequest{Configuration: r.current.id(r.shard), Token: r.token, Page: page}
@@ -52,8 +53,8 @@
 		})
 }
 
-// acceptorDone counts an acceptor's result. All answers are awaited, since each one
-// makes fewer keys contested.
+// acceptorDone counts an acceptor's result. It waits for all acceptors, not just for a seal quorum,
+// since each further list leaves fewer keys contested.
 func (c *sealCollector) acceptorDone(entries []KeyRecord, ok bool) {
 	c.mutex.Lock()
 	if ok {
@@ -69,6 +70,8 @@
 	}
 }
 
+// onSealed installs the merged entries if a seal quorum was collected. If the votes are lost for good,
+// it installs what was collected and quarantines the shard; otherwise it unseals the acceptors.
 func (r *reconfiguration) onSealed(collected [][]KeyRecord) {
 	if len(collected) >= r.current.sealQuorum() {
 		r.entries = mergeEntries(collected, r.current)
@@ -85,11 +88,11 @@
 		return
 	}
 	r.unsealAll()
-	r.finish("too few acceptors answer")
+	r.finish("too few acceptors could be sealed")
 }
 
-// votesLost reports whether so many acceptors are no members any more, for
-// so long, that a seal quorum can never be had again.
+// votesLost reports whether fewer of the acceptors than a seal quorum have been members for at least
+// lossGracePeriod. The votes of acceptors that are no longer members cannot be recovered.
 func (r *reconfiguration) votesLost() bool {
 	members := r.set.config.Members.Members()
 	remaining := 0
@@ -112,8 +115,7 @@
 	return now.Sub(state.unreachableSince) >= lossGracePeriod
 }
 
-// unsealAll lets the old acceptors go on after a proposal that was certainly
-// not committed.
+// unsealAll lets the old acceptors resume voting after a proposal that was certainly not committed.
 func (r *reconfiguration) unsealAll() {
 	request := UnsealRequest{Configuration: r.current.id(r.shard), Token: r.token}
 	for _, acceptor := range r.current.Acceptors {
@@ -121,8 +123,8 @@
 	}
 }
 
-// installAll hands the entries to the new acceptors, all of which must take
-// them, or to the key-value service if there are none.
+// installAll transfers the entries to the new acceptors, all of which must accept them, or to the
+// key-value service if there are no acceptors. Then it commits the new configuration.
 func (r *reconfiguration) installAll() {
 	if len(r.next.Acceptors) == 0 {
 		r.writeSnapshot(0)
@@ -134,13 +136,14 @@
 			return
 		}
 		r.unsealAll()
-		r.finish("an acceptor did not take the entries")
+		r.finish("an acceptor did not accept the entries")
 	}}
 	for _, acceptor := range r.next.Acceptors {
 		r.installPage(acceptor, 0, remaining)
 	}
 }
 
+// installPage transfers one page of the entries to an acceptor, then the following ones.
 func (r *reconfiguration) installPage(acceptor membership.Member, page int, remaining *countdown) {
 	entries, last := pageOf(r.entries, page)
 	request := InstallRequest{
@@ -161,13 +164,14 @@
 		})
 }
 
+// pageOf returns one page of the entries, counted from 0, and whether it is the last.
 func pageOf(entries []KeyRecord, page int) (part []KeyRecord, last bool) {
 	first := min(page*maxPageEntries, len(entries))
 	end := min(first+maxPageEntries, len(entries))
 	return entries[first:end], end == len(entries)
 }
 
-// countdown waits for a number of results.
+// countdown calls done after a number of results, with whether all were successes.
 type countdown struct {
 	mutex  sync.Mutex
 	left   int
@@ -175,6 +179,7 @@
 	done   func(ok bool)
 }
 
+// report counts one result.
 func (c *countdown) report(ok bool) {
 	c.mutex.Lock()
 	c.left--
@@ -187,15 +192,15 @@
 	}
 }
 
-// writeSnapshot rests a shard in the key-value service, when the last node is
-// being stopped. Pages carry the proposal's token, so a repeated write of a
-// page is harmless.
+// writeSnapshot writes the shard's entries to the key-value service, page by page, when the last node
+// shuts down. The pages' keys contain the proposal's token, so that writing a page again overwrites
+// only the same page.
 func (r *reconfiguration) writeSnapshot(page int) {
 	entries, last := pageOf(r.entries, page)
 	var buffer bytes.Buffer
 	if err := gob.NewEncoder(&buffer).Encode(entries); err != nil {
 		r.unsealAll()
-		r.finish("entries can't be encoded")
+		r.finish("entries cannot be encoded")
 		return
 	}
 	put := outside.Operation{Kind: outside.OperationPut, Key: snapshotKey(r.shard, r.token, page), Value: buffer.Bytes()}
@@ -214,18 +219,18 @@
 		})
 }
 
-// readSnapshot brings a resting shard back.
+// readSnapshot reads the shard's entries from the snapshot and installs them at the new acceptors.
 func (r *reconfiguration) readSnapshot() {
 	prefix := snapshotPrefix(r.shard, r.current.Token)
 	r.set.config.KeyValues.Range(prefix, keyValueTimeout, func(result outside.RangeResult, err error) {
 		if err != nil || len(result.KeyValues) != r.current.SnapshotPages {
-			r.finish("snapshot can't be read")
+			r.finish("snapshot cannot be read")
 			return
 		}
 		for _, pair := range result.KeyValues {
 			var entries []KeyRecord
 			if err := gob.NewDecoder(bytes.NewReader(pair.Value)).Decode(&entries); err != nil {
-				r.finish("snapshot can't be decoded")
+				r.finish("snapshot cannot be decoded")
 				return
 			}
 			r.entries = append(r.entries, entries...)
