--- a/internal/claims/configurationcache.go
+++ b/internal/claims/configurationcache.go
@@ -38,8 +38,8 @@
 	readStartedAt time.Time
 	stopped       bool
 	// failures counts the failed reads since the latest successful one.
-	failures int
-	unwatch  func()
+	failures  int
+	stopWatch func()
 }
 
 type cachedConfiguration struct {
@@ -57,8 +57,8 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.stopped = true
-	if c.unwatch != nil {
-		c.unwatch()
+	if c.stopWatch != nil {
+		c.stopWatch()
 	}
 }
 
@@ -168,7 +168,7 @@
 		return
 	}
 	c.loaded = true
-	c.unwatch = c.set.config.KeyValues.Watch(configurationPrefix, revision, c)
+	c.stopWatch = c.set.config.KeyValues.Watch(configurationPrefix, revision, c)
 }
 
 func (c *configurationCache) isStopped() bool {
--- a/internal/claims/planned_shutdown_test.go
+++ b/internal/claims/planned_shutdown_test.go
@@ -26,8 +26,8 @@
 		for !cluster.storedConfigurationHas(0, node.member) {
 			cluster.loop.RunFor(100 * time.Microsecond)
 		}
-		_, known := node.set.configurations.get(0)
-		Expect(known).To(BeFalse(), "the reply of the commit has arrived already")
+		_, cached := node.set.configurations.get(0)
+		Expect(cached).To(BeFalse(), "the reply of the commit has arrived already")
 		Expect(node.set.IsAcceptor()).To(BeTrue())
 	})
 
--- a/internal/claims/proposer.go
+++ b/internal/claims/proposer.go
@@ -69,7 +69,8 @@
 	deadlineResult Result
 }
 
-// Claim implements Claimer.
+// Claim implements Claimer. Rounds are repeated, with random pauses, until one is granted, the key
+// turns out to be used for another request, the holder's outcome is found or the deadline passes.
 func (s *ClaimSet) Claim(key Key, attempt outside.AttemptID, digest uint64, deadline time.Time, done func(Result)) {
 	operation := &claimOperation{
 		set: s, key: key, shard: shardOf(key, s.config.Shards), attempt: attempt,
