--- a/internal/claims/acceptor.go
+++ b/internal/claims/acceptor.go
@@ -8,27 +8,28 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// pageEntries bounds the entries of one transfer message.
-const pageEntries = 500
+// maxPageEntries is the maximum number of entries in one SealReply, InstallRequest or snapshot page.
+const maxPageEntries = 500
 
-// acceptor holds this node's votes of one shard.
+// acceptor holds this node's votes for the keys of one shard.
 type acceptor struct {
 	retention  time.Duration
 	maxEntries int
 
 	mutex sync.Mutex
-	// active is the configuration in which this node votes.
+	// active is the configuration in which this acceptor votes.
 	active ConfigurationID
-	// sealedFor holds the tokens of proposals that ended the voting here.
-	sealedFor map[string]bool
-	// sealedSince is when the first of them did.
-	sealedSince time.Time
-	// quarantineUntil refuses votes until then.
+	// sealTokens holds the tokens of the proposals that sealed this acceptor. While there is one,
+	// the acceptor does not vote.
+	sealTokens map[string]bool
+	// sealedAt is the time of the first of these seals.
+	sealedAt time.Time
+	// quarantineUntil is the time until which votes for new keys are refused.
 	quarantineUntil time.Time
 	entries         map[Key]*KeyRecord
-	// expiry lists keys in order of their first vote.
+	// expiry lists the keys in order of their first vote, oldest first.
 	expiry []expiringKey
-	// proposed configurations that are not committed yet, by token.
+	// proposed holds configurations that are not known to be committed, by token.
 	proposed map[string]*proposal
 }
 
@@ -37,14 +38,15 @@
 	claimedAt time.Time
 }
 
-// proposal is a configuration handed over but not known to be committed.
+// proposal is a configuration that a proposer is installing or has installed here, not known to be
+// committed.
 type proposal struct {
 	configuration   ConfigurationID
 	nextPage        int
 	complete        bool
 	entries         []KeyRecord
 	quarantineUntil time.Time
-	// installedAt is when the newest page came.
+	// installedAt is the time at which the latest page was installed.
 	installedAt time.Time
 }
 
@@ -52,24 +54,25 @@
 	return &acceptor{
 		retention:  retention,
 		maxEntries: maxEntries,
-		sealedFor:  map[string]bool{},
+		sealTokens: map[string]bool{},
 		entries:    map[Key]*KeyRecord{},
 		proposed:   map[string]*proposal{},
 	}
 }
 
-// vote records the key for the attempt unless another came first. A request of
-// a configuration proves that it is committed, since its sender read it there.
+// vote records the key for the attempt unless another attempt already holds it. A request that names
+// a configuration proves that it is committed: the sender has read it from the key-value service or
+// committed it.
 func (a *acceptor) vote(request VoteRequest, now time.Time) VoteReply {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.activate(request.Configuration)
-	if a.active != request.Configuration || len(a.sealedFor) > 0 {
+	if a.active != request.Configuration || len(a.sealTokens) > 0 {
 		return VoteReply{Status: VoteWrongEpoch}
 	}
 	a.expire(now)
-	entry, known := a.entries[request.Key]
-	if known {
+	entry, found := a.entries[request.Key]
+	if found {
 		return replyFromEntry(entry, request)
 	}
 	if now.Before(a.quarantineUntil) {
@@ -84,7 +87,7 @@
 		Holders:   []outside.AttemptID{request.Attempt},
 		ClaimedAt: now,
 	})
-	return VoteReply{Status: VoteGiven, Holder: request.Attempt}
+	return VoteReply{Status: VoteGranted, Holder: request.Attempt}
 }
 
 func replyFromEntry(entry *KeyRecord, request VoteRequest) VoteReply {
@@ -96,22 +99,22 @@
 	case entry.Digest != request.Digest:
 		return VoteReply{Status: VoteConflict}
 	case reply.Holder == request.Attempt:
-		reply.Status = VoteGiven
+		reply.Status = VoteGranted
 	}
 	return reply
 }
 
-// record stores an outcome. Only the attempt that won the key sends one, so it
-// also settles a contested key and one whose vote was missed here.
+// record stores an outcome and reports whether it did. Only the attempt that won the key sends one,
+// so the outcome also decides a contested key, and a key for which this acceptor has no vote.
 func (a *acceptor) record(request RecordRequest, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.activate(request.Configuration)
-	if a.active != request.Configuration || len(a.sealedFor) > 0 {
+	if a.active != request.Configuration || len(a.sealTokens) > 0 {
 		return false
 	}
-	entry, known := a.entries[request.Key]
-	if !known {
+	entry, found := a.entries[request.Key]
+	if !found {
 		a.insert(KeyRecord{Key: request.Key, Digest: request.Digest, ClaimedAt: now})
 		entry = a.entries[request.Key]
 	}
@@ -121,13 +124,13 @@
 	return true
 }
 
-// release removes the vote for an attempt that never ran.
+// release removes the vote for an attempt that never ran, and reports whether there was one.
 func (a *acceptor) release(request ReleaseRequest) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.activate(request.Configuration)
-	entry, known := a.entries[request.Key]
-	if a.active != request.Configuration || len(a.sealedFor) > 0 || !known {
+	entry, found := a.entries[request.Key]
+	if a.active != request.Configuration || len(a.sealTokens) > 0 || !found {
 		return false
 	}
 	if len(entry.Holders) != 1 || entry.Holders[0] != request.Attempt || entry.Outcome != nil {
@@ -137,7 +140,7 @@
 	return true
 }
 
-// seal ends voting and returns one page of entries in order of key.
+// seal stops voting in the configuration and returns one page of the entries, sorted by key.
 func (a *acceptor) seal(request SealRequest, now time.Time) SealReply {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -145,32 +148,34 @@
 	if a.active != request.Configuration {
 		return SealReply{}
 	}
-	if len(a.sealedFor) == 0 {
-		a.sealedSince = now
+	if len(a.sealTokens) == 0 {
+		a.sealedAt = now
 	}
-	a.sealedFor[request.Token] = true
+	a.sealTokens[request.Token] = true
 	a.expire(now)
 	all := a.sortedEntries(now)
-	first := min(request.Page*pageEntries, len(all))
-	last := min(first+pageEntries, len(all))
+	first := min(request.Page*maxPageEntries, len(all))
+	last := min(first+maxPageEntries, len(all))
 	return SealReply{OK: true, Entries: all[first:last], More: last < len(all)}
 }
 
-// unseal lets voting go on unless another proposal sealed the shard too.
+// unseal removes the seal of one proposal. Voting resumes unless another proposal has sealed the
+// acceptor too.
 func (a *acceptor) unseal(request UnsealRequest) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.active == request.Configuration {
-		delete(a.sealedFor, request.Token)
+		delete(a.sealTokens, request.Token)
 	}
 }
 
+// sortedEntries returns copies of the entries with their ages, sorted by key.
 func (a *acceptor) sortedEntries(now time.Time) []KeyRecord {
 	all := make([]KeyRecord, 0, len(a.entries))
 	for _, entry := range a.entries {
-		handed := *entry
-		handed.Age = now.Sub(entry.ClaimedAt)
-		all = append(all, handed)
+		transferred := *entry
+		transferred.Age = now.Sub(entry.ClaimedAt)
+		all = append(all, transferred)
 	}
 	sort.Slice(all, func(i, j int) bool { return lessKey(all[i].Key, all[j].Key) })
 	return all
@@ -183,15 +188,16 @@
 	return a.Value < b.Value
 }
 
-// install takes a page of a proposed configuration.
+// install stores one page of a proposed configuration's entries and reports whether the acceptor
+// has that page. Page 0 restarts the transfer; other pages are accepted in order only.
 func (a *acceptor) install(request InstallRequest, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if request.Configuration.Epoch <= a.active.Epoch {
 		return request.Configuration == a.active
 	}
-	pending, known := a.proposed[request.Configuration.Token]
-	if !known || request.Page == 0 {
+	pending, found := a.proposed[request.Configuration.Token]
+	if !found || request.Page == 0 {
 		pending = &proposal{configuration: request.Configuration, quarantineUntil: request.QuarantineUntil}
 		a.proposed[request.Configuration.Token] = pending
 	}
@@ -208,17 +214,18 @@
 	return true
 }
 
-// activate switches to a committed configuration whose entries are here.
+// activate switches to a committed configuration if it is newer than the active one and all its
+// entries have been installed.
 func (a *acceptor) activate(committed ConfigurationID) {
 	if committed.Epoch <= a.active.Epoch {
 		return
 	}
-	pending, known := a.proposed[committed.Token]
-	if !known || !pending.complete || pending.configuration != committed {
+	pending, found := a.proposed[committed.Token]
+	if !found || !pending.complete || pending.configuration != committed {
 		return
 	}
 	a.active = committed
-	a.sealedFor = map[string]bool{}
+	a.sealTokens = map[string]bool{}
 	a.quarantineUntil = pending.quarantineUntil
 	a.entries = make(map[Key]*KeyRecord, len(pending.entries))
 	a.expiry = a.expiry[:0]
@@ -231,26 +238,27 @@
 	}
 }
 
-// committed tells the acceptor which configuration the key-value service holds.
-func (a *acceptor) committed(configuration ConfigurationID) {
+// observeCommitted activates a configuration that the key-value service holds.
+func (a *acceptor) observeCommitted(configuration ConfigurationID) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.activate(configuration)
 }
 
+// insert adds an entry whose first vote is not older than those of the others.
 func (a *acceptor) insert(entry KeyRecord) {
 	stored := entry
 	a.entries[entry.Key] = &stored
 	a.expiry = append(a.expiry, expiringKey{key: entry.Key, claimedAt: entry.ClaimedAt})
 }
 
-// expire forgets keys older than the retention.
+// expire deletes the keys whose first vote is older than the retention period.
 func (a *acceptor) expire(now time.Time) {
 	expired := 0
 	for expired < len(a.expiry) && now.Sub(a.expiry[expired].claimedAt) > a.retention {
 		oldest := a.expiry[expired]
-		entry, known := a.entries[oldest.key]
-		if known && entry.ClaimedAt.Equal(oldest.claimedAt) {
+		entry, found := a.entries[oldest.key]
+		if found && entry.ClaimedAt.Equal(oldest.claimedAt) {
 			delete(a.entries, oldest.key)
 		}
 		expired++
@@ -258,34 +266,35 @@
 	a.expiry = a.expiry[expired:]
 }
 
-// stuck reports whether voting ended in a configuration for so long that the
-// proposal it was ended for has been given up.
-func (a *acceptor) stuck(configuration ConfigurationID, patience time.Duration, now time.Time) bool {
+// sealTimedOut reports whether this acceptor has been sealed in the configuration for longer than the
+// timeout, so that the proposal that sealed it counts as abandoned.
+func (a *acceptor) sealTimedOut(configuration ConfigurationID, timeout time.Duration, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	sealed := a.active == configuration && len(a.sealedFor) > 0
-	return sealed && now.Sub(a.sealedSince) > patience
+	sealed := a.active == configuration && len(a.sealTokens) > 0
+	return sealed && now.Sub(a.sealedAt) > timeout
 }
 
-// ahead reports whether this acceptor votes in a configuration newer than the
-// known one, or was handed one that may still be committed. The latter is ruled
-// out once the key-value service was read proposalPatience after the handover.
-func (a *acceptor) ahead(known uint64, readAt time.Time) bool {
+// aheadOf reports whether this acceptor votes in a configuration newer than the given epoch, or holds
+// a proposal for a newer one that may still be committed. If a read of the key-value service that
+// began proposalTimeout or more after the latest page was installed here did not return the proposal,
+// the proposal is ruled out.
+func (a *acceptor) aheadOf(epoch uint64, readStartedAt time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if a.active.Epoch > known {
+	if a.active.Epoch > epoch {
 		return true
 	}
 	for _, pending := range a.proposed {
-		if pending.configuration.Epoch > known && readAt.Sub(pending.installedAt) < proposalPatience {
+		if pending.configuration.Epoch > epoch && readStartedAt.Sub(pending.installedAt) < proposalTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// size returns the number of keys held.
-func (a *acceptor) size() int {
+// keyCount returns the number of keys that this acceptor holds votes for.
+func (a *acceptor) keyCount() int {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return len(a.entries)
--- a/internal/claims/configurationcache.go
+++ b/internal/claims/configurationcache.go
@@ -10,45 +10,45 @@
 
 var errNoSuchShard = errors.New("no such claim shard")
 
-// rereadDelay is the mean pause before configurations are read again; it
-// doubles with each failure up to maxRereadDelay, so that an outage is not
-// answered by all nodes' reading.
+// minReadBackoff is the mean pause before the configurations are read again after the watch was lost
+// or a read failed. It doubles with each failed read up to maxReadBackoff, so that in an outage the
+// key-value service is not loaded with the reads of all nodes.
 const (
-	rereadDelay    = 500 * time.Millisecond
-	maxRereadDelay = 16 * time.Second
+	minReadBackoff = 500 * time.Millisecond
+	maxReadBackoff = 16 * time.Second
 )
 
-// rereadPause is the mean pause after a number of failed readings.
-func rereadPause(failures int) time.Duration {
-	return min(rereadDelay<<min(failures, 10), maxRereadDelay)
+// readBackoff returns the mean pause before the next read after a number of failed ones.
+func readBackoff(failures int) time.Duration {
+	return min(minReadBackoff<<min(failures, 10), maxReadBackoff)
 }
 
-// keyValueTimeout bounds one call to the key-value service.
+// keyValueTimeout is the time limit of one call to the key-value service.
 const keyValueTimeout = 2 * time.Second
 
-// configurationCache follows the shards' configurations in the key-value
-// service and keeps the newest of each through outages.
+// configurationCache watches the shards' configurations in the key-value service and caches the
+// newest one of each shard, so that claims work during an outage of the service.
 type configurationCache struct {
 	set *ClaimSet
 
 	mutex  sync.Mutex
-	known  []knownConfiguration
+	cached []cachedConfiguration
 	loaded bool
-	// readAt is when the newest complete reading began; zero: none.
-	readAt  time.Time
-	stopped bool
-	// failures to read since the newest reading.
-	failures int
-	unwatch  func()
+	// readStartedAt is the start of the latest successful read; zero if there was none.
+	readStartedAt time.Time
+	stopped       bool
+	// failures counts the failed reads since the latest successful one.
+	failures  int
+	stopWatch func()
 }
 
-type knownConfiguration struct {
+type cachedConfiguration struct {
 	configuration Configuration
 	exists        bool
 }
 
 func newConfigurationCache(set *ClaimSet, shards int) *configurationCache {
-	return &configurationCache{set: set, known: make([]knownConfiguration, shards)}
+	return &configurationCache{set: set, cached: make([]cachedConfiguration, shards)}
 }
 
 func (c *configurationCache) start() { c.read() }
@@ -57,103 +57,107 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.stopped = true
-	if c.unwatch != nil {
-		c.unwatch()
+	if c.stopWatch != nil {
+		c.stopWatch()
 	}
 }
 
-// get returns a shard's newest known configuration.
+// get returns a shard's cached configuration, and whether there is one.
 func (c *configurationCache) get(shard int) (Configuration, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known := c.known[shard]
-	return known.configuration, known.exists
+	entry := c.cached[shard]
+	return entry.configuration, entry.exists
 }
 
-// isLoaded reports whether the configurations were read at least once.
+// isLoaded reports whether the configurations have been read at least once.
 func (c *configurationCache) isLoaded() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.loaded
 }
 
-// learn takes a configuration seen in the key-value service.
-func (c *configurationCache) learn(shard int, configuration Configuration) {
+// observe caches a configuration read from or committed to the key-value service, if it is newer than
+// the cached one, and notifies the shard's acceptor.
+func (c *configurationCache) observe(shard int, configuration Configuration) {
 	if !c.store(shard, configuration) {
 		return
 	}
-	c.set.acceptors[shard].committed(configuration.id(shard))
+	c.set.acceptors[shard].observeCommitted(configuration.id(shard))
 }
 
+// store caches a configuration and reports whether it is newer than the one cached before.
 func (c *configurationCache) store(shard int, configuration Configuration) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known := &c.known[shard]
-	if known.exists && known.configuration.Epoch >= configuration.Epoch {
+	entry := &c.cached[shard]
+	if entry.exists && entry.configuration.Epoch >= configuration.Epoch {
 		return false
 	}
-	*known = knownConfiguration{configuration: configuration, exists: true}
+	*entry = cachedConfiguration{configuration: configuration, exists: true}
 	return true
 }
 
-// read learns all configurations and then follows their changes.
+// read reads all configurations, then watches them for changes. It retries after a backoff.
 func (c *configurationCache) read() {
 	if c.isStopped() {
 		return
 	}
 	c.readAll(func(revision int64, err error) {
 		if err != nil {
-			c.readLater()
+			c.scheduleRead()
 			return
 		}
 		c.watch(revision)
 	})
 }
 
-// refresh learns all configurations once more, for a caller that must know
-// whether a change was missed or never made. A failure leaves them as they are.
+// refresh reads all configurations once, for a caller that must know whether the watch has not yet
+// delivered a change or the change was never committed. A failed read leaves the cache unchanged.
 func (c *configurationCache) refresh() {
 	c.readAll(func(_ int64, err error) {
 		if err != nil {
-			c.set.config.Logger.Debug().Err(err).Msg("claim configurations not refreshed")
+			c.set.config.Logger.Debug().Err(err).Msg("could not refresh claim configurations")
 		}
 	})
 }
 
 func (c *configurationCache) readAll(done func(revision int64, err error)) {
-	began := c.set.config.Clock.Now()
+	startedAt := c.set.config.Clock.Now()
 	c.set.config.KeyValues.Range(configurationPrefix, keyValueTimeout, func(result outside.RangeResult, err error) {
 		if err == nil {
 			for _, pair := range result.KeyValues {
-				c.learnPair(pair)
+				c.observePair(pair)
 			}
-			c.succeeded(began)
+			c.recordRead(startedAt)
 		}
 		done(result.Revision, err)
 	})
 }
 
-// lastRead returns when the newest complete reading began; zero: none.
+// lastRead returns the start of the latest successful read; zero if there was none.
 func (c *configurationCache) lastRead() time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.readAt
+	return c.readStartedAt
 }
 
-func (c *configurationCache) readLater() {
+// scheduleRead schedules a read after a backoff.
+func (c *configurationCache) scheduleRead() {
 	c.mutex.Lock()
-	pause := rereadPause(c.failures)
+	pause := readBackoff(c.failures)
 	c.failures++
 	c.mutex.Unlock()
 	c.set.config.Clock.AfterFunc(c.set.jitter(pause), c.read)
 }
 
-func (c *configurationCache) succeeded(began time.Time) {
+// recordRead resets the backoff after a successful read that began at startedAt.
+func (c *configurationCache) recordRead(startedAt time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.failures = 0
-	if began.After(c.readAt) {
-		c.readAt = began
+	if startedAt.After(c.readStartedAt) {
+		c.readStartedAt = startedAt
 	}
 }
 
@@ -164,7 +168,7 @@
 		return
 	}
 	c.loaded = true
-	c.unwatch = c.set.config.KeyValues.Watch(configurationPrefix, revision, c)
+	c.stopWatch = c.set.config.KeyValues.Watch(configurationPrefix, revision, c)
 }
 
 func (c *configurationCache) isStopped() bool {
@@ -177,23 +181,24 @@
 func (c *configurationCache) Events(_ int64, events []outside.WatchEvent) {
 	for _, event := range events {
 		if !event.Deleted {
-			c.learnPair(event.KeyValue)
+			c.observePair(event.KeyValue)
 		}
 	}
 }
 
-// Lost implements outside.WatchHandler.
-func (c *configurationCache) Lost(error) { c.readLater() }
+// Lost implements outside.WatchHandler. It reads all configurations again and starts a new watch.
+func (c *configurationCache) Lost(error) { c.scheduleRead() }
 
-func (c *configurationCache) learnPair(pair outside.KeyValue) {
+// observePair decodes and observes a configuration, ignoring keys that name no shard.
+func (c *configurationCache) observePair(pair outside.KeyValue) {
 	shard, ok := shardOfConfigurationKey(pair.Key)
-	if !ok || shard >= len(c.known) {
+	if !ok || shard >= len(c.cached) {
 		return
 	}
 	configuration, err := decodeConfiguration(pair.Value)
 	if err != nil {
-		c.set.config.Logger.Error().Err(err).Str("key", pair.Key).Msg("claim configuration can't be read")
+		c.set.config.Logger.Error().Err(err).Str("key", pair.Key).Msg("claim configuration cannot be decoded")
 		return
 	}
-	c.learn(shard, configuration)
+	c.observe(shard, configuration)
 }
--- a/internal/claims/reconfiguration.go
+++ b/internal/claims/reconfiguration.go
@@ -9,44 +9,47 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// Times of reconfiguration.
+// Delays and time limits of reconfigurations.
 const (
-	// rankDelay is how much later each next member in rank acts, so that a
-	// shard is repaired by one member unless that one fails.
+	// rankDelay is the additional wait of each member in the order of rank, so that a shard is
+	// repaired by one member unless that member fails.
 	rankDelay = 3 * time.Second
-	// lossGrace is how long a shard's votes must be out of reach before they
-	// count as lost.
-	lossGrace = 60 * time.Second
-	// proposalPatience is how long after a proposal's newest step it counts as
-	// one that may be committed. An acceptor sealed for longer asks for a new
-	// configuration.
-	proposalPatience = 5 * time.Second
-	// minRetry and maxRetry bound the pause after a failed try, which doubles.
-	minRetry = time.Second
-	maxRetry = 8 * time.Second
-	// reconfigurationTimeout lets a stuck try be begun anew.
+	// lossGracePeriod is how long too few of a shard's acceptors must have been members before its
+	// votes count as lost.
+	lossGracePeriod = 60 * time.Second
+	// proposalTimeout is how long after its latest step a proposal may still be committed. The node
+	// of an acceptor that has been sealed for longer proposes a new configuration.
+	proposalTimeout = 5 * time.Second
+	// minRetryBackoff and maxRetryBackoff bound the mean pause after a failed reconfiguration, which
+	// doubles with each failure.
+	minRetryBackoff = time.Second
+	maxRetryBackoff = 8 * time.Second
+	// reconfigurationTimeout is how long a reconfiguration may run before a new one replaces it.
 	reconfigurationTimeout = 15 * time.Second
 )
 
-// reconfigurationState is this node's view of a shard's need of repair.
+// reconfigurationState tracks this node's reconfigurations of one shard.
 type reconfigurationState struct {
-	// degradedSince is when the need was first seen; zero: none.
+	// degradedSince is when the shard was first observed to need a reconfiguration; zero: it needs
+	// none.
 	degradedSince time.Time
-	// unreachableSince is when sealing first failed for want of acceptors.
+	// unreachableSince is when sealing first failed because too few acceptors were members; zero if
+	// it has not.
 	unreachableSince time.Time
 	running          *reconfiguration
 	startedAt        time.Time
-	// failures since the need was first seen, and when to try again.
+	// failures counts the reconfigurations that have ended since degradedSince; the next may start at
+	// retryAt.
 	failures int
 	retryAt  time.Time
 }
 
-// tick checks each shard and repairs it if that is this node's turn.
+// tick checks all shards and starts the reconfigurations that are due at this node.
 func (s *ClaimSet) tick() {
-	if !s.configurations.isLoaded() || !s.membersKnown() {
+	if !s.configurations.isLoaded() || !s.membersSynchronised() {
 		return
 	}
-	s.refreshBeforeLeaving()
+	s.refreshWhileDraining()
 	now := s.config.Clock.Now()
 	s.live.update(s.config.Members.Members())
 	for shard := range s.config.Shards {
@@ -54,9 +57,9 @@
 	}
 }
 
-// refreshBeforeLeaving reads the configurations while only that can tell a
-// draining node whether it holds votes.
-func (s *ClaimSet) refreshBeforeLeaving() {
+// refreshWhileDraining reads the configurations again if this node is draining and has an acceptor
+// that may hold votes in a configuration newer than the cached one: only a read can rule that out.
+func (s *ClaimSet) refreshWhileDraining() {
 	if !s.config.Members.Self().Draining {
 		return
 	}
@@ -68,25 +71,27 @@
 	}
 }
 
-func (s *ClaimSet) membersKnown() bool {
+func (s *ClaimSet) membersSynchronised() bool {
 	return s.config.Synchronised == nil || s.config.Synchronised()
 }
 
+// checkShard starts a reconfiguration of the shard if it needs one and no other member should start it
+// first. A timed-out seal of this node's own acceptor is repaired without waiting for other members.
 func (s *ClaimSet) checkShard(shard int, live *liveMembers, now time.Time) {
 	current, _ := s.configurations.get(shard)
 	s.reconfigurationMutex.Lock()
 	defer s.reconfigurationMutex.Unlock()
 	state := &s.reconfigurations[shard]
-	stuck := s.acceptors[shard].stuck(current.id(shard), proposalPatience, now)
-	if !stuck && live.keeps(current) {
+	sealTimedOut := s.acceptors[shard].sealTimedOut(current.id(shard), proposalTimeout, now)
+	if !sealTimedOut && live.retainsAcceptors(current) {
 		*state = reconfigurationState{}
 		return
 	}
 	if state.degradedSince.IsZero() {
 		state.degradedSince = now
 	}
-	position := s.position(shard, live.members)
-	if !stuck && (position < 0 || now.Sub(state.degradedSince) < time.Duration(position)*rankDelay) {
+	repairRank := s.repairRank(shard, live.members)
+	if !sealTimedOut && (repairRank < 0 || now.Sub(state.degradedSince) < time.Duration(repairRank)*rankDelay) {
 		return
 	}
 	if now.Before(state.retryAt) {
@@ -96,12 +101,12 @@
 		return
 	}
 	state.running = s.newReconfiguration(shard, chooseAcceptors(shard, current.Acceptors, live.members))
-	state.running.renew = stuck
+	state.running.force = sealTimedOut
 	state.startedAt = now
 	state.running.start()
 }
 
-// needsChange reports whether the acceptors should be replaced.
+// needsChange reports whether the desired acceptors differ from the current ones.
 func needsChange(current Configuration, desired []membership.Member) bool {
 	if len(current.Acceptors) != len(desired) {
 		return true
@@ -114,9 +119,9 @@
 	return false
 }
 
-// position is this node's place in the order in which members repair a shard;
-// draining members come in only when there are no others.
-func (s *ClaimSet) position(shard int, members []membership.Member) int {
+// repairRank returns this node's position, from 0, in the order in which members repair a shard; -1 if
+// it is not among them. Draining members are included only if all members are draining.
+func (s *ClaimSet) repairRank(shard int, members []membership.Member) int {
 	candidates := withoutDraining(members)
 	if len(candidates) == 0 {
 		candidates = members
@@ -125,16 +130,16 @@
 	return slices.IndexFunc(rank(shard, candidates), func(m membership.Member) bool { return m.ID() == self })
 }
 
-// reconfiguration replaces a shard's acceptors: read the record, seal the old
-// acceptors, merge their entries, install them at the new ones, commit by
-// compare-and-swap. Each step begins when the one before has ended.
+// reconfiguration replaces a shard's acceptors: it reads the stored configuration, seals the old
+// acceptors, merges their entries, installs them at the new acceptors and commits the new
+// configuration by compare-and-swap. Each step begins after the previous one has ended.
 type reconfiguration struct {
 	set     *ClaimSet
 	shard   int
 	desired []membership.Member
 	token   string
-	// renew the configuration even if its acceptors stay the same.
-	renew bool
+	// force a new configuration even if its acceptors are the current ones.
+	force bool
 
 	current     Configuration
 	modRevision int64
@@ -149,32 +154,34 @@
 	return &reconfiguration{set: s, shard: shard, desired: desired, token: token}
 }
 
-// start reads the record, which also proves that the key-value service answers
+// start reads the stored configuration. This also checks that the key-value service is available
 // before any acceptor is sealed.
 func (r *reconfiguration) start() {
 	r.set.config.KeyValues.Range(configurationKey(r.shard), keyValueTimeout, func(result outside.RangeResult, err error) {
 		if err != nil {
-			r.end("key-value service unavailable")
+			r.finish("key-value service unavailable")
 			return
 		}
 		if len(result.KeyValues) > 0 {
 			configuration, err := decodeConfiguration(result.KeyValues[0].Value)
 			if err != nil {
-				r.end("record can't be read")
+				r.finish("configuration cannot be decoded")
 				return
 			}
 			r.current = configuration
 			r.modRevision = result.KeyValues[0].ModRevision
-			r.set.configurations.learn(r.shard, configuration)
+			r.set.configurations.observe(r.shard, configuration)
 		}
 		r.prepare()
 	})
 }
 
+// prepare ends the reconfiguration if the stored configuration needs none. Otherwise it collects the
+// shard's entries, from the current acceptors or the snapshot; a new shard has none.
 func (r *reconfiguration) prepare() {
 	r.desired = chooseAcceptors(r.shard, r.current.Acceptors, r.set.config.Members.Members())
-	if r.modRevision != 0 && !r.renew && !needsChange(r.current, r.desired) {
-		r.end("no change needed")
+	if r.modRevision != 0 && !r.force && !needsChange(r.current, r.desired) {
+		r.finish("no change needed")
 		return
 	}
 	r.next = Configuration{Epoch: r.current.Epoch + 1, Token: r.token, Acceptors: r.desired}
@@ -188,13 +195,14 @@
 	}
 }
 
-// end lets the next tick try again if there is still need.
-func (r *reconfiguration) end(reason string) {
+// finish ends the reconfiguration. A tick after the retry backoff starts another one if the shard
+// still needs it.
+func (r *reconfiguration) finish(reason string) {
 	r.set.reconfigurationMutex.Lock()
 	state := &r.set.reconfigurations[r.shard]
 	if state.running == r {
 		state.running = nil
-		state.retryAt = r.set.config.Clock.Now().Add(r.set.jitter(retryPause(state.failures)))
+		state.retryAt = r.set.config.Clock.Now().Add(r.set.jitter(retryBackoff(state.failures)))
 		state.failures++
 	}
 	r.set.reconfigurationMutex.Unlock()
@@ -202,12 +210,13 @@
 		Str("reason", reason).Msg("claim shard reconfiguration ended")
 }
 
-// retryPause is the mean pause after a number of failed tries.
-func retryPause(failures int) time.Duration {
-	return min(minRetry<<min(failures, 10), maxRetry)
+// retryBackoff returns the mean pause after a number of failed reconfigurations.
+func retryBackoff(failures int) time.Duration {
+	return min(minRetryBackoff<<min(failures, 10), maxRetryBackoff)
 }
 
-// commit writes the new configuration by compare-and-swap.
+// commit writes the new configuration by compare-and-swap. If it was certainly not written, the old
+// acceptors are unsealed.
 func (r *reconfiguration) commit() {
 	key := configurationKey(r.shard)
 	transaction := outside.Transaction{
@@ -217,41 +226,43 @@
 	r.set.config.KeyValues.Transact(transaction, keyValueTimeout, func(result outside.TransactionResult, err error) {
 		switch {
 		case err == nil && result.Succeeded:
-			r.committed()
+			r.onCommitted()
 		case err == nil, isNotApplied(err):
 			r.unsealAll()
-			r.end("not committed")
+			r.finish("not committed")
 		default:
 			r.readBack()
 		}
 	})
 }
 
-// readBack settles a write whose reply was lost, by its token.
+// readBack reads the stored configuration after a write whose outcome is unknown. The token in it
+// identifies the proposal that was committed.
 func (r *reconfiguration) readBack() {
 	key := configurationKey(r.shard)
 	r.set.config.KeyValues.Range(key, keyValueTimeout, func(result outside.RangeResult, err error) {
 		if err != nil {
-			r.set.config.Clock.AfterFunc(r.set.jitter(rereadDelay), r.readBack)
+			r.set.config.Clock.AfterFunc(r.set.jitter(minReadBackoff), r.readBack)
 			return
 		}
 		if len(result.KeyValues) == 0 {
-			r.end("not committed")
+			r.finish("not committed")
 			return
 		}
 		configuration, err := decodeConfiguration(result.KeyValues[0].Value)
 		if err != nil {
-			r.end("record can't be read")
+			r.finish("configuration cannot be decoded")
 			return
 		}
-		r.set.configurations.learn(r.shard, configuration)
-		r.end("read back")
+		r.set.configurations.observe(r.shard, configuration)
+		r.finish("read back")
 	})
 }
 
-func (r *reconfiguration) committed() {
+// onCommitted caches the new configuration and ends the reconfiguration.
+func (r *reconfiguration) onCommitted() {
 	r.set.config.Logger.Info().Int("shard", r.shard).Uint64("epoch", r.next.Epoch).
 		Int("acceptors", len(r.next.Acceptors)).Int("keys", len(r.entries)).Msg("claim shard reconfigured")
-	r.set.configurations.learn(r.shard, r.next)
-	r.end("committed")
+	r.set.configurations.observe(r.shard, r.next)
+	r.finish("committed")
 }
--- a/internal/claims/round.go
+++ b/internal/claims/round.go
@@ -5,17 +5,19 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// claimRound counts the votes of one configuration.
+// claimRound counts the replies to one round of vote requests in one configuration.
 type claimRound struct {
 	configuration Configuration
 	holder        outside.AttemptID
 	replies       int
-	given         int
+	granted       int
 	conflicts     int
-	held          map[outside.AttemptID]int
+	// heldBy counts VoteHeld replies by holder; the empty holder stands for a contested key.
+	heldBy        map[outside.AttemptID]int
 	outcome       *Outcome
 	outcomeHolder outside.AttemptID
-	ended         bool
+	// closed: the round is decided or abandoned; later replies are ignored.
+	closed bool
 }
 
 func (r *claimRound) count(message peer.Message, err error) {
@@ -29,33 +31,34 @@
 		r.outcomeHolder = reply.Holder
 	}
 	switch reply.Status {
-	case VoteGiven:
-		r.given++
+	case VoteGranted:
+		r.granted++
 	case VoteHeld:
-		r.held[reply.Holder]++
+		r.heldBy[reply.Holder]++
 	case VoteConflict:
 		r.conflicts++
 	}
 }
 
+// roundDecision is the state of a round's vote count.
 type roundDecision uint8
 
 const (
 	undecided roundDecision = iota
 	won
 	heldByOther
-	usedForOther
+	digestMismatch
 	noMajority
 )
 
-// String is the decision's word in logs.
+// String returns the decision as it appears in logs.
 func (d roundDecision) String() string {
 	switch d {
 	case won:
 		return "granted"
 	case heldByOther:
 		return "held by another attempt"
-	case usedForOther:
+	case digestMismatch:
 		return "used for another request"
 	case noMajority:
 		return "no majority"
@@ -64,19 +67,19 @@
 	}
 }
 
-// decide looks at the votes so far.
+// decide returns the decision on the replies counted so far.
 func (r *claimRound) decide() roundDecision {
 	quorum := r.configuration.writeQuorum()
-	if r.given >= quorum {
+	if r.granted >= quorum {
 		return won
 	}
 	if r.outcome != nil {
 		return heldByOther
 	}
 	if r.conflicts >= quorum {
-		return usedForOther
+		return digestMismatch
 	}
-	for _, votes := range r.held {
+	for _, votes := range r.heldBy {
 		if votes >= quorum {
 			return heldByOther
 		}
@@ -87,11 +90,13 @@
 	return undecided
 }
 
+// majorityHolder returns the holder that has recorded an outcome or that a write quorum reported;
+// empty if there is none.
 func (r *claimRound) majorityHolder() outside.AttemptID {
 	if r.outcome != nil {
 		return r.outcomeHolder
 	}
-	for holder, votes := range r.held {
+	for holder, votes := range r.heldBy {
 		if votes >= r.configuration.writeQuorum() {
 			return holder
 		}
