--- a/internal/orders/scale_test.go
+++ b/internal/orders/scale_test.go
@@ -205,11 +205,11 @@
 	engine := largeSnapshot(1).Configuration.Pools["p"].Engine
 	demand := map[string]*placement.Demand{}
 	for i := range 40 {
-		asked := &placement.Demand{Waiting: 5, Adapters: map[string]*placement.AdapterDemand{}}
+		modelDemand := &placement.Demand{Waiting: 5, Adapters: map[string]*placement.AdapterDemand{}}
 		for adapter := range 5 {
-			asked.Adapters[fmt.Sprint("a", adapter)] = &placement.AdapterDemand{Waiting: 1}
+			modelDemand.Adapters[fmt.Sprint("a", adapter)] = &placement.AdapterDemand{Waiting: 1}
 		}
-		demand[fmt.Sprint("m", i)] = asked
+		demand[fmt.Sprint("m", i)] = modelDemand
 	}
 	ordered := map[string]int{}
 	for range 30 {
