--- a/internal/mirror/relay.go
+++ b/internal/mirror/relay.go
@@ -23,9 +23,9 @@
 	initialSubscribePeriod = 400 * time.Millisecond
 	// subscribeTimeout bounds the wait for the reply to a subscription.
 	subscribeTimeout = 400 * time.Millisecond
-	// maxRecordsPushed bounds the records pushed to all subscribers together, but each gets up to
-	// minRecordsPushed. A larger change, such as all servers when a deployment starts, is read from
-	// the store by each node, as it would exceed the relay's link and memory.
+	// maxRecordsPushed and minRecordsPushed bound how many records are pushed at once to each
+	// subscriber; see recordLimit. A larger change, such as all servers when a deployment starts, is
+	// read from the store by each node, as it would exceed the relay's link and memory.
 	maxRecordsPushed, minRecordsPushed = 2000, 8
 	// pushShare of Times.Changes is how long one change may occupy the relay's link, and
 	// recordBytes the size of a record in a message.
@@ -74,9 +74,10 @@
 // size is the number of records and removals.
 func (u Update) size() int { return len(u.Servers) + len(u.Ended) }
 
-// recordLimit returns how many records may be sent at once to each of a number of subscribers, by
-// what the machine's link can carry. A limit of 2,000 records in total alone leaves two for each of
-// 985 subscribers, so that any change sent all nodes to the store.
+// recordLimit returns how many records may be sent at once to each of a number of subscribers: what
+// the machine's link can carry, up to maxRecordsPushed, but no less than a subscriber's share of
+// maxRecordsPushed, and no less than minRecordsPushed. The share alone is two of 2,000 records for
+// each of 985 subscribers, so that any change sent all nodes to the store.
 func (m *Mirror) recordLimit(subscribers int) int {
 	subscribers = max(subscribers, 1)
 	bytes := m.config.LinkBytesPerSecond * share(pushShare, m.config.Times.Changes).Seconds()
--- a/internal/mirror/snapshot.go
+++ b/internal/mirror/snapshot.go
@@ -17,9 +17,9 @@
 	// transfer 7 GB, 57 s of a link of 1,000 Mbit/s.
 	maxDirectServers = 500
 	// snapshotWaitShare of Times.Changes is how long a node without records waits for a snapshot
-	// before it reads all records itself. For each page of records it waits pageWait longer, and up
-	// to twice that at random: if all nodes of a fleet read 20 pages each at once, they would keep
-	// the relay from reading.
+	// before it reads all records itself. For each page of records it waits pageWait longer, and at
+	// random up to pageWait more: if all nodes of a fleet read 20 pages each at once, they would
+	// keep the relay from reading.
 	snapshotWaitShare = 0.8
 	pageWait          = time.Second
 )
--- a/internal/orders/link.go
+++ b/internal/orders/link.go
@@ -24,7 +24,7 @@
 	demandBatchPause = 2 * time.Millisecond
 	// callTimeout limits the wait for the reply to a report.
 	callTimeout = 400 * time.Millisecond
-	// The holder's placement expires after holderTimeout and reportLifetimePeriods report
+	// The holder's placement expires after holderTimeout plus reportLifetimePeriods report
 	// periods without an update from the holder.
 	holderTimeout = 600 * time.Millisecond
 )
