--- a/internal/membership/survey/survey.go
+++ b/internal/membership/survey/survey.go
@@ -1,4 +1,5 @@
-// Package survey asks all members of the cluster the same question.
+// Package survey sends a query to all members of the cluster and collects the
+// replies.
 package survey
 
 import (
@@ -10,94 +11,97 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// Query is a message to which every member answers with a Reply.
+// Query is a message that every member answers with a Reply.
 type Query[Reply any] struct {
 	Clock     clock.Clock
 	Transport peer.Transport
 	Members   membership.View
 	Message   peer.Message
-	// Timeout of one member's answer.
+	// Timeout limits the wait for one member's reply.
 	Timeout time.Duration
-	// Concurrency bounds how many members are asked at once.
+	// Concurrency is the maximum number of members that are queried at once.
 	Concurrency int
-	// Local is this node's own answer.
+	// Local returns this node's own reply.
 	Local func() Reply
-	// ResponderID returns the id of the member that gave a reply, so that the
-	// answer of a later process at the same address does not count.
+	// ResponderID returns the ID of the member that sent a reply, so that the reply
+	// of a later process at the same address is not counted.
 	ResponderID func(Reply) string
 }
 
-// Result is what one member said.
+// Result is the reply of one member, if it sent one.
 type Result[Reply any] struct {
 	Member membership.Member
 	Reply  Reply
-	// Answered is false if the member did not answer.
+	// Answered is false if the member sent no valid reply in time.
 	Answered bool
 }
 
-// Run asks all members. Done as in package outside; it receives the answers in
-// order of the members' names.
+// Run sends the query to all members. done is called as described in package
+// outside, with one result for each member, in order of the members' names.
 func (q Query[Reply]) Run(done func([]Result[Reply])) {
-	asked := &asking[Reply]{question: q, done: done}
+	run := &queryRun[Reply]{query: q, done: done}
 	for _, member := range q.Members.Members() {
-		asked.answers = append(asked.answers, Result[Reply]{Member: member})
+		run.results = append(run.results, Result[Reply]{Member: member})
 	}
-	asked.remaining = len(asked.answers)
-	q.Clock.AfterFunc(0, asked.start)
+	run.remaining = len(run.results)
+	q.Clock.AfterFunc(0, run.start)
 }
 
-// asking is one question on its way.
-type asking[Reply any] struct {
-	question Query[Reply]
-	done     func([]Result[Reply])
+// queryRun is a query in progress.
+type queryRun[Reply any] struct {
+	query Query[Reply]
+	done  func([]Result[Reply])
 
 	mutex     sync.Mutex
-	answers   []Result[Reply]
+	results   []Result[Reply]
 	next      int
 	remaining int
 }
 
-func (a *asking[Reply]) start() {
-	if len(a.answers) == 0 {
-		a.done(nil)
+func (r *queryRun[Reply]) start() {
+	if len(r.results) == 0 {
+		r.done(nil)
 		return
 	}
-	for range min(a.question.Concurrency, len(a.answers)) {
-		a.askNext()
+	for range min(r.query.Concurrency, len(r.results)) {
+		r.sendNext()
 	}
 }
 
-func (a *asking[Reply]) askNext() {
-	a.mutex.Lock()
-	index := a.next
-	a.next++
-	a.mutex.Unlock()
-	if index >= len(a.answers) {
+// sendNext queries the next member, if there is one left.
+func (r *queryRun[Reply]) sendNext() {
+	r.mutex.Lock()
+	index := r.next
+	r.next++
+	r.mutex.Unlock()
+	if index >= len(r.results) {
 		return
 	}
-	member := a.answers[index].Member
-	if member.ID() == a.question.Members.Self().ID() {
-		a.answered(index, a.question.Local(), true)
+	member := r.results[index].Member
+	if member.ID() == r.query.Members.Self().ID() {
+		r.recordResult(index, r.query.Local(), true)
 		return
 	}
-	a.question.Transport.Call(member.PeerAddress, a.question.Message, a.question.Timeout, func(message peer.Message, err error) {
+	r.query.Transport.Call(member.PeerAddress, r.query.Message, r.query.Timeout, func(message peer.Message, err error) {
 		reply, ok := message.(Reply)
-		a.answered(index, reply, err == nil && ok && a.question.ResponderID(reply) == member.ID())
+		r.recordResult(index, reply, err == nil && ok && r.query.ResponderID(reply) == member.ID())
 	})
 }
 
-func (a *asking[Reply]) answered(index int, reply Reply, known bool) {
-	a.mutex.Lock()
-	if known {
-		a.answers[index].Reply = reply
-		a.answers[index].Answered = true
+// recordResult stores the result of one member, and either completes the query or
+// sends the next message.
+func (r *queryRun[Reply]) recordResult(index int, reply Reply, answered bool) {
+	r.mutex.Lock()
+	if answered {
+		r.results[index].Reply = reply
+		r.results[index].Answered = true
 	}
-	a.remaining--
-	finished := a.remaining == 0
-	a.mutex.Unlock()
+	r.remaining--
+	finished := r.remaining == 0
+	r.mutex.Unlock()
 	if finished {
-		a.done(a.answers)
+		r.done(r.results)
 		return
 	}
-	a.askNext()
+	r.sendNext()
 }
