--- a/internal/membership/backoff.go
+++ b/internal/membership/backoff.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// backoff gives growing, jittered pauses between tries.
+// backoff computes exponentially growing, jittered pauses between attempts.
 type backoff struct {
 	minimum, maximum time.Duration
 	current          time.Duration
 }
 
-// next returns the pause before the next try, drawn from the upper half of a
-// span that doubles up to the maximum.
+// next returns the pause before the next attempt. It is drawn from the upper half
+// of an interval that doubles with each call, up to the maximum.
 func (b *backoff) next(random *rand.Rand) time.Duration {
 	if b.current == 0 {
 		b.current = b.minimum
@@ -22,9 +22,11 @@
 	return pause
 }
 
-// reset starts over with the minimum.
+// reset returns the interval to its minimum.
 func (b *backoff) reset() { b.current = 0 }
 
+// randomBelow returns a uniformly distributed duration in [0, limit), or zero if
+// the limit is not positive.
 func randomBelow(random *rand.Rand, limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
@@ -32,7 +34,7 @@
 	return time.Duration(random.Int64N(int64(limit)))
 }
 
-// jittered returns a span between 80% and 120% of the mean.
+// jittered returns a random duration between 80% and 120% of the mean.
 func jittered(random *rand.Rand, mean time.Duration) time.Duration {
 	return mean*4/5 + randomBelow(random, mean*2/5)
 }
--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -19,7 +19,7 @@
 	RunSpecs(t, "Membership")
 }
 
-// cluster is a set of simulated nodes with one key-value service.
+// cluster is a set of simulated nodes that share one key-value service.
 type cluster struct {
 	loop    *simulation.Loop
 	network *simulation.Network
@@ -28,13 +28,15 @@
 	peers   *simulation.PeerNetwork
 	cells   []string
 	nodes   map[string]*node
-	// heartbeat: nodes use the HeartbeatDetector, else the LeaseDetector.
+	// heartbeat selects the HeartbeatDetector for the nodes instead of the
+	// LeaseDetector.
 	heartbeat bool
 	// zoneOf returns a node's zone by its name.
 	zoneOf func(name string) string
 }
 
-// node is one start of a node; it records what its runner was told.
+// node is one incarnation of a node. It is the CellRunner of its OwnershipManager
+// and records the calls.
 type node struct {
 	process  *simulation.Process
 	registry *membership.Registry
@@ -43,7 +45,8 @@
 	owned    map[string]uint64
 	// releaseDelay is how long the runner takes to release a cell.
 	releaseDelay time.Duration
-	faults       []string
+	// violations lists calls that break the contract of CellRunner.
+	violations []string
 }
 
 func newCluster(seed uint64, cells int) *cluster {
@@ -63,10 +66,10 @@
 	return c
 }
 
-// start starts the named node, in place of an earlier start of it.
+// start starts a new incarnation of the named node; a previous one is killed.
 func (c *cluster) start(name string) *node {
-	if earlier := c.nodes[name]; earlier != nil {
-		earlier.process.Kill()
+	if previous := c.nodes[name]; previous != nil {
+		previous.process.Kill()
 	}
 	n := &node{process: simulation.NewProcess(c.loop, name), owned: map[string]uint64{}, releaseDelay: 200 * time.Millisecond}
 	c.nodes[name] = n
@@ -92,26 +95,26 @@
 
 func (n *node) Acquired(cell string, epoch uint64) {
 	if held, owned := n.owned[cell]; owned {
-		n.faults = append(n.faults, fmt.Sprintf("acquired %s at %d while held at %d", cell, epoch, held))
+		n.violations = append(n.violations, fmt.Sprintf("acquired %s at %d while held at %d", cell, epoch, held))
 	}
 	n.owned[cell] = epoch
 }
 
 func (n *node) Lost(cell string) {
 	if _, owned := n.owned[cell]; !owned {
-		n.faults = append(n.faults, "lost unowned "+cell)
+		n.violations = append(n.violations, "lost unowned "+cell)
 	}
 	delete(n.owned, cell)
 }
 
 func (n *node) Release(cell string, released func()) {
 	if _, owned := n.owned[cell]; !owned {
-		n.faults = append(n.faults, "asked to release unowned "+cell)
+		n.violations = append(n.violations, "asked to release unowned "+cell)
 	}
 	n.process.AfterFunc(n.releaseDelay, released)
 }
 
-// ownersOf lists the live nodes that run the cell.
+// ownersOf lists the live nodes whose runner has acquired the cell.
 func (c *cluster) ownersOf(cell string) []string {
 	var names []string
 	for name, n := range c.nodes {
@@ -122,8 +125,9 @@
 	return names
 }
 
-// expectOneOwnerEach checks that each cell has one owner, known to all nodes.
-func (c *cluster) expectOneOwnerEach() {
+// expectOneOwnerPerCell checks that each cell has one owner, and that all live nodes
+// report it.
+func (c *cluster) expectOneOwnerPerCell() {
 	GinkgoHelper()
 	for _, cell := range c.cells {
 		names := c.ownersOf(cell)
@@ -135,22 +139,22 @@
 			}
 			known, found := n.owners.OwnerOf(cell)
 			Expect(found).To(BeTrue())
-			Expect(known.Member.Name).To(Equal(names[0]), "%s as known at %s", cell, name)
+			Expect(known.Member.Name).To(Equal(names[0]), "owner of %s at %s", cell, name)
 			Expect(known.Epoch).To(Equal(owner.owned[cell]))
 			Expect(known.Vacant).To(BeFalse())
 		}
 	}
-	c.expectNoFaults()
+	c.expectNoViolations()
 }
 
-func (c *cluster) expectNoFaults() {
+func (c *cluster) expectNoViolations() {
 	GinkgoHelper()
 	for name, n := range c.nodes {
-		Expect(n.faults).To(BeEmpty(), name)
+		Expect(n.violations).To(BeEmpty(), name)
 	}
 }
 
-// expectMembers checks the names known at every live node.
+// expectMembers checks the member names at every live node.
 func (c *cluster) expectMembers(names ...string) {
 	GinkgoHelper()
 	for _, n := range c.nodes {
--- a/internal/membership/detector_benchmark_test.go
+++ b/internal/membership/detector_benchmark_test.go
@@ -18,32 +18,33 @@
 
 // The conditions of BenchmarkDetectors.
 const (
-	benchmarkZones     = 19
-	benchmarkLoss      = 0.05
-	benchmarkSteady    = 20 * time.Minute
-	benchmarkDeaths    = 20
-	benchmarkDeathGap  = 30 * time.Second
-	benchmarkOutage    = time.Hour
-	benchmarkRecovery  = 2 * time.Minute
-	benchmarkObservers = 12
-	// sampledSizes of each message type are encoded.
+	benchmarkZones         = 19
+	benchmarkLoss          = 0.05
+	benchmarkSteadyState   = 20 * time.Minute
+	benchmarkCrashes       = 20
+	benchmarkCrashInterval = 30 * time.Second
+	benchmarkOutage        = time.Hour
+	benchmarkRecovery      = 2 * time.Minute
+	benchmarkObservers     = 12
+	// sampledSizes is the number of messages of each type that are encoded to
+	// measure their size.
 	sampledSizes = 20
 )
 
-// BenchmarkDetectors runs hollow members on virtual time, with 5% of the
-// messages between members lost and one member paused, and reports what
-// detection costs. Where the service is lossy too, 5% of its requests, replies
-// and watch events are lost as well:
+// BenchmarkDetectors runs members without cells on virtual time, with 5% of the
+// messages between members lost and one member paused, and reports the cost of
+// failure detection. With lossyService, 5% of the requests, replies and watch events
+// of the key-value service are lost as well:
 //
 //	go test ./internal/membership -run '^$' -bench Detectors -benchtime 1x -timeout 30m
 func BenchmarkDetectors(b *testing.B) {
 	for _, nodes := range []int{10, 38, 95, 209, 418, 840} {
-		benchmarkBoth(b, nodes, false)
+		benchmarkBothDetectors(b, nodes, false)
 	}
-	benchmarkBoth(b, 95, true)
+	benchmarkBothDetectors(b, 95, true)
 }
 
-func benchmarkBoth(b *testing.B, nodes int, lossyService bool) {
+func benchmarkBothDetectors(b *testing.B, nodes int, lossyService bool) {
 	for _, heartbeat := range []bool{false, true} {
 		b.Run(fmt.Sprintf("nodes=%d/heartbeat=%v/lossyService=%v", nodes, heartbeat, lossyService), func(b *testing.B) {
 			for range b.N {
@@ -53,16 +54,16 @@
 	}
 }
 
-// detectorTrial is one cluster of members without cells.
+// detectorTrial is one benchmark run on a cluster of members without cells.
 type detectorTrial struct {
 	*cluster
 	names     []string
 	observers []string
 	paused    string
-	// goneAt is when a member was killed; detections follow from it.
-	goneAt map[string]time.Time
-	// startedAt tells the removal of a former incarnation, seen late, from a
-	// false positive.
+	// killedAt is when a member was killed; detection times are measured from it.
+	killedAt map[string]time.Time
+	// startedAt is when a member was last started. A removal shortly after that is
+	// the late removal of the previous incarnation, not a false positive.
 	startedAt      map[string]time.Time
 	detections     []time.Duration
 	falsePositives map[string]bool
@@ -73,16 +74,16 @@
 
 func measureDetector(b *testing.B, t *detectorTrial) {
 	t.loop.RunFor(3 * time.Minute)
-	t.measureSteady(b)
-	t.measureDeaths(b)
-	t.measureZoneLoss(b)
-	t.measureOutage(b)
+	t.measureSteadyState(b)
+	t.measureCrashes(b)
+	t.measureZoneFailure(b)
+	t.measureStoreOutage(b)
 	b.ReportMetric(0, "ns/op")
 }
 
 func newDetectorTrial(heartbeat bool, nodes int, lossyService bool) *detectorTrial {
 	t := &detectorTrial{
-		cluster: newCluster(1, 0), goneAt: map[string]time.Time{}, startedAt: map[string]time.Time{}, falsePositives: map[string]bool{},
+		cluster: newCluster(1, 0), killedAt: map[string]time.Time{}, startedAt: map[string]time.Time{}, falsePositives: map[string]bool{},
 		sizes: map[reflect.Type][]int{},
 	}
 	t.heartbeat = heartbeat
@@ -110,7 +111,7 @@
 }
 
 func (t *detectorTrial) startMember(name string) {
-	delete(t.goneAt, name)
+	delete(t.killedAt, name)
 	t.startedAt[name] = t.loop.Now()
 	n := &node{process: simulation.NewProcess(t.loop, name)}
 	t.nodes[name] = n
@@ -126,7 +127,8 @@
 	n.registry.Start()
 }
 
-// countingDetector is the cluster's detector on a transport that counts.
+// countingDetector returns the cluster's detector on a transport that counts
+// messages.
 func (t *detectorTrial) countingDetector(n *node) membership.Detector {
 	if !t.heartbeat {
 		return t.detector(n)
@@ -136,7 +138,7 @@
 	return membership.NewHeartbeatDetector(n.meter, transport, n.process, t.loop.Fork(), options, zerolog.Nop())
 }
 
-// observer notes each removal that it sees.
+// observer returns a subscriber that reports each removal to the trial.
 func (t *detectorTrial) observer() func([]membership.Member) {
 	known := map[string]bool{}
 	return func(members []membership.Member) {
@@ -154,33 +156,33 @@
 }
 
 func (t *detectorTrial) removed(name string) {
-	if gone, dead := t.goneAt[name]; dead {
-		t.detections = append(t.detections, t.loop.Now().Sub(gone))
+	if killedAt, killed := t.killedAt[name]; killed {
+		t.detections = append(t.detections, t.loop.Now().Sub(killedAt))
 		return
 	}
-	if !t.nodes[name].process.Paused() && t.loop.Now().Sub(t.startedAt[name]) > benchmarkDeathGap {
+	if !t.nodes[name].process.Paused() && t.loop.Now().Sub(t.startedAt[name]) > benchmarkCrashInterval {
 		t.falsePositives[name+t.loop.Now().Truncate(10*time.Second).String()] = true
 	}
 }
 
 func (t *detectorTrial) kill(name string) {
-	t.goneAt[name] = t.loop.Now()
+	t.killedAt[name] = t.loop.Now()
 	t.nodes[name].process.Kill()
 }
 
-func (t *detectorTrial) measureSteady(b *testing.B) {
+func (t *detectorTrial) measureSteadyState(b *testing.B) {
 	t.nodes[t.paused].process.Pause()
 	t.loop.RunFor(time.Minute)
 	operations := t.store.Counters().Total()
 	t.messages, t.bytes = 0, 0
-	t.loop.RunFor(benchmarkSteady)
-	perNode := benchmarkSteady.Seconds() * float64(len(t.names))
+	t.loop.RunFor(benchmarkSteadyState)
+	perNode := benchmarkSteadyState.Seconds() * float64(len(t.names))
 	b.ReportMetric(float64(t.messages)/perNode, "messages/s/node")
 	b.ReportMetric(t.bytes/perNode, "bytes/s/node")
-	b.ReportMetric(float64(t.store.Counters().Total()-operations)/benchmarkSteady.Seconds(), "kv/s")
+	b.ReportMetric(float64(t.store.Counters().Total()-operations)/benchmarkSteadyState.Seconds(), "kv/s")
 }
 
-func (t *detectorTrial) measureDeaths(b *testing.B) {
+func (t *detectorTrial) measureCrashes(b *testing.B) {
 	victims := slices.DeleteFunc(slices.Clone(t.names), func(name string) bool {
 		return name == t.paused || slices.Contains(t.observers, name)
 	})
@@ -190,23 +192,23 @@
 	}
 	victims = slices.DeleteFunc(victims, func(name string) bool { return name == t.paused })
 	t.detections = nil
-	for index := range benchmarkDeaths {
+	for index := range benchmarkCrashes {
 		victim := victims[index*7%len(victims)]
 		t.kill(victim)
-		t.loop.RunFor(benchmarkDeathGap)
+		t.loop.RunFor(benchmarkCrashInterval)
 		t.startMember(victim)
-		t.loop.RunFor(benchmarkDeathGap)
+		t.loop.RunFor(benchmarkCrashInterval)
 	}
 	slices.Sort(t.detections)
 	if len(t.detections) > 0 {
 		b.ReportMetric(t.detections[len(t.detections)/2].Seconds(), "s-detection-p50")
 		b.ReportMetric(t.detections[len(t.detections)*99/100].Seconds(), "s-detection-p99")
 	}
-	hours := (benchmarkSteady + 2*benchmarkDeaths*benchmarkDeathGap).Hours()
+	hours := (benchmarkSteadyState + 2*benchmarkCrashes*benchmarkCrashInterval).Hours()
 	b.ReportMetric(float64(len(t.falsePositives))/hours, "false/h")
 }
 
-func (t *detectorTrial) measureZoneLoss(b *testing.B) {
+func (t *detectorTrial) measureZoneFailure(b *testing.B) {
 	t.detections = nil
 	zone := t.zoneOf(t.observers[0])
 	for _, name := range t.names {
@@ -222,7 +224,7 @@
 	}
 }
 
-func (t *detectorTrial) measureOutage(b *testing.B) {
+func (t *detectorTrial) measureStoreOutage(b *testing.B) {
 	t.falsePositives = map[string]bool{}
 	t.store.SetFaults(keyvalue.Faults{Outage: true})
 	_, refused := t.operations(benchmarkOutage)
@@ -234,29 +236,29 @@
 	b.ReportMetric(float64(len(t.falsePositives)), "false-outage")
 }
 
-// operations runs for a span and returns the most operations asked for in a
-// second, and all of them.
+// operations runs for a span and returns the maximum number of key-value operations
+// requested in a second, and the total.
 func (t *detectorTrial) operations(span time.Duration) (peak, total float64) {
-	asked := func() float64 {
+	requested := func() float64 {
 		sum := uint64(0)
 		for _, n := range t.nodes {
 			sum += n.meter.Counts().Total()
 		}
 		return float64(sum)
 	}
-	begin := asked()
+	begin := requested()
 	before := begin
 	for range int(span / time.Second) {
 		t.loop.RunFor(time.Second)
-		now := asked()
+		now := requested()
 		peak = max(peak, now-before)
 		before = now
 	}
 	return peak, before - begin
 }
 
-// countingTransport counts messages and their bytes after encoding, each once
-// as sent and once as received.
+// countingTransport counts messages and their encoded bytes, each once as sent and
+// once as received.
 type countingTransport struct {
 	peer.Transport
 	trial *detectorTrial
--- a/internal/membership/heartbeat_detector.go
+++ b/internal/membership/heartbeat_detector.go
@@ -14,17 +14,21 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// HeartbeatDetector takes for alive who is registered in the key-value
-// service, and finds out by probes between members who is to be removed there.
+// HeartbeatDetector is a Detector that treats the members registered in the
+// key-value service as alive, and removes members from there that do not answer
+// the probes of other members.
 //
-// It probes as SWIM does (Das, Gupta, Motivala: SWIM, DSN 2002): in each period
-// a node probes one member, and if that does not answer, asks others to probe
-// it. A member that goes on leaving probes unanswered is accused in its record
-// in the key-value service. It refutes by writing its record anew. The record
-// of one that does not is deleted by compare-and-swap with the accusation. So
-// all nodes see the same changes of the members in the same order, nobody is
-// removed while the service is out, and who reaches either its peers or the
-// service stays.
+// Probing follows SWIM (Das, Gupta, Motivala: SWIM, DSN 2002): in each period a
+// node probes one member, and if that does not answer, asks other members to
+// probe it. A member that leaves further probes unanswered becomes accused: a
+// mark is written into its record in the key-value service. The member refutes
+// the accusation by writing its record without the mark. If it does not, its
+// record is deleted by a compare-and-swap on the revision of the accusation.
+//
+// Since membership changes only in the key-value service, all nodes observe the
+// same changes in the same order, no member is removed while the service is
+// unavailable, and a member that reaches either its peers or the service stays
+// registered.
 type HeartbeatDetector struct {
 	service   outside.KeyValueService
 	transport peer.Transport
@@ -42,26 +46,27 @@
 	registered   registeredMembers
 	registration registrationState
 	probing      probingState
-	removal      removalState
-	// synchronised: the records were read at least once.
+	accusations  accusationState
+	// synchronised: the records have been read at least once.
 	synchronised bool
-	// interrupted since the newest reading: accusations may go unnoticed.
+	// interrupted: the watch was interrupted since the newest snapshot, so
+	// changes of the records may be missing here.
 	interrupted bool
-	// interruptedAt is when the present interruption began.
-	interruptedAt time.Time
-	trouble       trouble
+	// interruptedAt is when the current interruption began.
+	interruptedAt  time.Time
+	graceExtension graceExtension
 }
 
-// NewHeartbeatDetector returns a detector that is not started. The source of
-// randomness is used by the detector alone. It must be called before the
-// transport starts, since it sets handlers.
+// NewHeartbeatDetector returns a detector that is not started. The random source
+// must not be shared. NewHeartbeatDetector registers message handlers and must
+// therefore be called before the transport starts.
 func NewHeartbeatDetector(service outside.KeyValueService, transport peer.Transport, c clock.Clock, random *rand.Rand, options HeartbeatOptions, log zerolog.Logger) *HeartbeatDetector {
 	d := &HeartbeatDetector{
 		service: service, transport: transport, clock: c, random: random, options: options, log: log,
 		registered:   registeredMembers{},
 		registration: newRegistrationState(options),
 		probing:      probingState{inFlight: map[string]bool{}, suspects: map[string]*suspect{}},
-		removal:      newRemovalState(options),
+		accusations:  newAccusationState(options),
 	}
 	watchRandom := rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
 	d.watcher = keywatch.New(service, c, watchRandom, options.Watch, d)
@@ -75,9 +80,9 @@
 	d.mutex.Lock()
 	d.self = self
 	d.onChange = onChange
-	d.probing.tickedAt = d.clock.Now()
+	d.probing.lastTickAt = d.clock.Now()
 	d.scheduleTickLocked()
-	d.convergeLocked()
+	d.reconcileOwnRecordLocked()
 	d.mutex.Unlock()
 	d.watcher.Start()
 }
@@ -86,7 +91,7 @@
 func (d *HeartbeatDetector) Update(self Member) {
 	d.mutex.Lock()
 	d.self = self
-	d.convergeLocked()
+	d.reconcileOwnRecordLocked()
 	d.mutex.Unlock()
 	d.clock.AfterFunc(0, d.publish)
 }
@@ -97,21 +102,21 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.stopped = true
-	d.withdrawLocked(withdrawTries, done)
+	d.withdrawLocked(maxWithdrawAttempts, done)
 }
 
 // Snapshot implements keywatch.Handler.
-func (d *HeartbeatDetector) Snapshot(reading outside.RangeResult) {
-	d.change(func(now time.Time) error {
+func (d *HeartbeatDetector) Snapshot(snapshot outside.RangeResult) {
+	d.applyAndPublish(func(now time.Time) error {
 		d.synchronised = true
 		d.interruptionEndedLocked(now)
-		return d.registered.replace(reading, now)
+		return d.registered.replace(snapshot, now)
 	})
 }
 
 // Changes implements keywatch.Handler.
 func (d *HeartbeatDetector) Changes(events []outside.WatchEvent) {
-	d.change(func(now time.Time) error {
+	d.applyAndPublish(func(now time.Time) error {
 		var failures []error
 		for _, event := range events {
 			if event.Deleted {
@@ -135,52 +140,55 @@
 	}
 }
 
-// change takes in what was read of the records, draws the consequences and
-// publishes the members.
-func (d *HeartbeatDetector) change(take func(now time.Time) error) {
+// applyAndPublish calls apply, which updates the registered members, then updates
+// the state derived from them and publishes the members. An error of apply is
+// logged: it means that a record could not be decoded.
+func (d *HeartbeatDetector) applyAndPublish(apply func(now time.Time) error) {
 	d.mutex.Lock()
-	if err := take(d.clock.Now()); err != nil {
-		d.log.Warn().Err(err).Msg("unreadable member record")
+	if err := apply(d.clock.Now()); err != nil {
+		d.log.Warn().Err(err).Msg("cannot decode member record")
 	}
-	d.settleLocked()
+	d.applyRecordsLocked()
 	d.mutex.Unlock()
 	d.publish()
 }
 
-// settleLocked makes everything fit the records now known.
-func (d *HeartbeatDetector) settleLocked() {
-	d.noteOwnRecordLocked()
+// applyRecordsLocked updates the state that is derived from the records: this
+// node's registration, the probe targets and the suspects.
+func (d *HeartbeatDetector) applyRecordsLocked() {
+	d.observeOwnRecordLocked()
 	d.probing.targets.replace(d.self, d.membersLocked(), d.random)
 	for id, suspect := range d.probing.suspects {
-		known := d.registered[suspect.member.Name]
-		if known == nil || known.record.Member.ID() != id {
+		entry := d.registered[suspect.member.Name]
+		if entry == nil || entry.record.Member.ID() != id {
 			delete(d.probing.suspects, id)
 		}
 	}
-	d.convergeLocked()
+	d.reconcileOwnRecordLocked()
 }
 
-// transact runs a compare-and-swap of one record; settled is called with the
-// lock held after the outcome was taken in.
-func (d *HeartbeatDetector) transactLocked(key string, modRevision int64, operation outside.Operation, settled func(succeeded bool, err error)) {
+// transactLocked runs a compare-and-swap of one record. onResult is called with
+// the lock held, after the result was applied to the registered members.
+func (d *HeartbeatDetector) transactLocked(key string, modRevision int64, operation outside.Operation, onResult func(succeeded bool, err error)) {
 	transaction := outside.Transaction{
 		Compares:   []outside.Compare{{Key: key, ModRevision: modRevision}},
 		Operations: []outside.Operation{operation},
 	}
 	d.service.Transact(transaction, d.options.Timeout, func(result outside.TransactionResult, err error) {
-		d.change(func(now time.Time) error {
+		d.applyAndPublish(func(now time.Time) error {
 			var unreadable error
 			if err == nil {
-				unreadable = d.takeOutcomeLocked(operation, result, now)
+				unreadable = d.applyResultLocked(operation, result, now)
 			}
-			settled(err == nil && result.Succeeded, err)
+			onResult(err == nil && result.Succeeded, err)
 			return unreadable
 		})
 	})
 }
 
-// takeOutcomeLocked takes notice of what a reply tells of the record.
-func (d *HeartbeatDetector) takeOutcomeLocked(operation outside.Operation, result outside.TransactionResult, now time.Time) error {
+// applyResultLocked updates the registered members by the result of a
+// transaction, which shows the record as it now is in the key-value service.
+func (d *HeartbeatDetector) applyResultLocked(operation outside.Operation, result outside.TransactionResult, now time.Time) error {
 	name := operation.Key[len(HeartbeatPrefix):]
 	switch {
 	case !result.Succeeded && len(result.Current) > 0:
@@ -196,15 +204,17 @@
 	}
 }
 
+// membersLocked returns the registered members, in no order.
 func (d *HeartbeatDetector) membersLocked() []Member {
 	members := make([]Member, 0, len(d.registered)+1)
-	for _, known := range d.registered {
-		members = append(members, known.record.Member)
+	for _, entry := range d.registered {
+		members = append(members, entry.record.Member)
 	}
 	return members
 }
 
-// publish tells the members once this node has read them and is registered.
+// publish passes the members to onChange, once this node has read the records and
+// has been registered.
 func (d *HeartbeatDetector) publish() {
 	d.mutex.Lock()
 	onChange := d.onChange
@@ -212,6 +222,9 @@
 	d.publisher.publish(d.publishedMembers, onChange)
 }
 
+// publishedMembers returns the members to publish, and whether there are any to
+// publish yet. This node is one of them, unless a later incarnation of it has
+// registered.
 func (d *HeartbeatDetector) publishedMembers() ([]Member, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/membership/heartbeat_messages.go
+++ b/internal/membership/heartbeat_messages.go
@@ -2,19 +2,20 @@
 
 import "encoding/gob"
 
-// ProbeMessage asks a node whether it is the member named.
+// ProbeMessage asks the receiver to confirm that it is the member named.
 type ProbeMessage struct {
-	// Target is the ID of the member probed.
+	// Target is the ID of the probed member.
 	Target string
 }
 
-// IndirectProbeMessage asks a node to probe another one.
+// IndirectProbeMessage asks the receiver to probe another member and to forward
+// its reply.
 type IndirectProbeMessage struct {
-	// Target is the ID of the member to probe, at Address.
+	// Target is the ID of the member to probe, Address its peer address.
 	Target, Address string
 }
 
-// ProbeReply tells that the member probed answered.
+// ProbeReply confirms that the probed member answered.
 type ProbeReply struct{}
 
 func init() {
--- a/internal/membership/heartbeat_options.go
+++ b/internal/membership/heartbeat_options.go
@@ -6,60 +6,67 @@
 	"github.com/hatchplank/hatchplank/internal/membership/keywatch"
 )
 
-// HeartbeatOptions of a HeartbeatDetector.
+// HeartbeatOptions configure a HeartbeatDetector.
 type HeartbeatOptions struct {
-	// Period is the mean time between two probes of a member of the own zone.
+	// Period is the mean length of a probe period, in which a node probes one
+	// member of its own zone.
 	Period time.Duration
-	// DirectTimeout of a probe, and IndirectTimeout of the probes through
-	// other members that follow it; together less than the period.
+	// DirectTimeout limits a direct probe, and IndirectTimeout the indirect
+	// probes through other members that follow it. Their sum must be less than
+	// Period.
 	DirectTimeout, IndirectTimeout time.Duration
-	// Helpers is how many members are asked to probe in this node's place.
-	Helpers int
+	// IndirectProbers is the number of members that are asked to probe a member
+	// that did not answer this node's direct probe.
+	IndirectProbers int
 	// NeighbourPeriods is the mean number of periods between two probes that a
 	// member of a neighbour zone receives from this zone.
 	NeighbourPeriods int
-	// SuspicionRounds is how many more probes a suspect must leave unanswered
-	// before it is accused.
+	// SuspicionRounds is the number of further probe rounds that a suspect must
+	// leave unanswered before it is accused.
 	SuspicionRounds int
-	// RefutationGrace is how long an accused member has to write its record
-	// anew.
+	// RefutationGrace is how long an accused member has for refuting the
+	// accusation before it is removed.
 	RefutationGrace time.Duration
-	// BlipGrace and OutageGrace replace RefutationGrace for that long after
-	// this node's watch was interrupted, for a moment or for longer: the
-	// accused may not have seen the accusation. A pause of this node counts as
-	// an outage.
-	BlipGrace, OutageGrace time.Duration
+	// BriefInterruptionGrace and OutageGrace replace RefutationGrace after this
+	// node's watch was interrupted briefly or for longer, each for a time equal to
+	// itself: the watch of the accused member may have been interrupted too, so
+	// that it has not seen the accusation. A pause of this process counts as an
+	// outage.
+	BriefInterruptionGrace, OutageGrace time.Duration
 	// RefutationHold is how long a member that refuted an accusation is not
-	// accused again. It doubles with each refutation.
+	// accused again. It doubles with each recent refutation.
 	RefutationHold time.Duration
-	// Timeout of one call to the key-value service.
+	// Timeout limits one call to the key-value service.
 	Timeout time.Duration
 	// MinBackoff and MaxBackoff bound the pause before a failed write of the
-	// own record, or a registration after a removal, is tried again.
+	// node's own record is repeated. MinBackoff is also the lower bound of the
+	// pause before a removed node registers again; the upper one is OutageGrace.
 	MinBackoff, MaxBackoff time.Duration
-	Watch                  keywatch.Options
+	// Watch configures the watch of the records.
+	Watch keywatch.Options
 }
 
-// DefaultHeartbeatOptions returns the options used in a node.
+// DefaultHeartbeatOptions returns the options used in production, for a probe
+// period.
 func DefaultHeartbeatOptions(period time.Duration) HeartbeatOptions {
-	const recoverySpread = 5 * time.Second
+	const recoveryJitter = 5 * time.Second
 	watch := keywatch.DefaultOptions(HeartbeatPrefix)
-	watch.RecoverySpread = recoverySpread
+	watch.RecoveryJitter = recoveryJitter
 	watch.ResyncInterval = 30 * time.Minute
 	return HeartbeatOptions{
-		Period:           period,
-		DirectTimeout:    period * 3 / 10,
-		IndirectTimeout:  period * 5 / 10,
-		Helpers:          3,
-		NeighbourPeriods: 3,
-		SuspicionRounds:  3,
-		RefutationGrace:  3 * time.Second,
-		BlipGrace:        recoverySpread + 5*time.Second,
-		OutageGrace:      30 * time.Second,
-		RefutationHold:   30 * time.Second,
-		Timeout:          2 * time.Second,
-		MinBackoff:       300 * time.Millisecond,
-		MaxBackoff:       5 * time.Second,
-		Watch:            watch,
+		Period:                 period,
+		DirectTimeout:          period * 3 / 10,
+		IndirectTimeout:        period * 5 / 10,
+		IndirectProbers:        3,
+		NeighbourPeriods:       3,
+		SuspicionRounds:        3,
+		RefutationGrace:        3 * time.Second,
+		BriefInterruptionGrace: recoveryJitter + 5*time.Second,
+		OutageGrace:            30 * time.Second,
+		RefutationHold:         30 * time.Second,
+		Timeout:                2 * time.Second,
+		MinBackoff:             300 * time.Millisecond,
+		MaxBackoff:             5 * time.Second,
+		Watch:                  watch,
 	}
 }
--- a/internal/membership/heartbeat_probing.go
+++ b/internal/membership/heartbeat_probing.go
@@ -9,35 +9,39 @@
 )
 
 const (
-	// maxNeighbourProbes of the neighbour zones in one period.
+	// maxNeighbourProbes is the maximum number of members of neighbour zones that
+	// a node probes in one period.
 	maxNeighbourProbes = 2
-	// pausedPeriods without a tick mean that this node was paused.
-	pausedPeriods = 3
+	// pauseThresholdPeriods is the number of periods without a tick after which
+	// this process is taken to have been paused.
+	pauseThresholdPeriods = 3
 )
 
 var errOtherMember = errors.New("another member is at this address")
 
-// probingState is what this node knows from probes.
+// probingState is the state of this node's probes.
 type probingState struct {
 	targets probeTargets
-	// neighbourCredit grows by the share of the neighbour zones' probes that
-	// this node owes in each period.
+	// neighbourCredit accumulates this node's fractional share of the probes of
+	// neighbour zones; a probe is sent for each whole unit.
 	neighbourCredit float64
-	// inFlight are the IDs of members being probed.
+	// inFlight holds the IDs of members that are being probed.
 	inFlight map[string]bool
-	// suspects by ID left at least the newest probe unanswered.
-	suspects map[string]*suspect
-	tickedAt time.Time
+	// suspects are the members, by ID, that left at least the newest probe round
+	// unanswered.
+	suspects   map[string]*suspect
+	lastTickAt time.Time
 }
 
-// suspect is a member that left probes unanswered.
+// suspect is a member that left probe rounds unanswered.
 type suspect struct {
 	member Member
-	// failedRounds of probes in a row, direct and indirect.
+	// failedRounds counts the consecutive probe rounds, each direct and then
+	// indirect, without an answer.
 	failedRounds int
 	// accusedHere: this node accused the member.
-	accusedHere bool
-	// writing of an accusation or a removal is under way.
+	accusedBySelf bool
+	// writing: an accusation or a removal is being written.
 	writing bool
 	retryAt time.Time
 }
@@ -46,7 +50,7 @@
 	d.clock.AfterFunc(jittered(d.random, d.options.Period), d.tick)
 }
 
-// tick probes who is due and judges the suspects.
+// tick sends the probes of one period and evaluates the suspects.
 func (d *HeartbeatDetector) tick() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -54,35 +58,39 @@
 		return
 	}
 	now := d.clock.Now()
-	if now.Sub(d.probing.tickedAt) > pausedPeriods*d.options.Period {
-		d.trouble.note(now, d.options.OutageGrace)
+	if now.Sub(d.probing.lastTickAt) > pauseThresholdPeriods*d.options.Period {
+		d.graceExtension.extend(now, d.options.OutageGrace)
 	}
-	d.probing.tickedAt = now
+	d.probing.lastTickAt = now
 	d.scheduleTickLocked()
 	if !d.synchronised || d.registration.superseded {
 		return
 	}
-	d.probeDueLocked()
-	d.judgeLocked(now)
+	d.sendProbesLocked()
+	d.evaluateSuspectsLocked(now)
 }
 
-func (d *HeartbeatDetector) probeDueLocked() {
+// sendProbesLocked probes the suspects, the next member of the zone, and this
+// node's share of the neighbour zones.
+func (d *HeartbeatDetector) sendProbesLocked() {
 	state := &d.probing
 	for _, suspect := range d.sortedSuspectsLocked() {
 		d.probeLocked(suspect.member)
 	}
-	if target, found := state.targets.zone.take(d.random); found {
+	if target, found := state.targets.zone.nextMember(d.random); found {
 		d.probeLocked(target)
 	}
 	for range d.neighbourProbesLocked() {
-		if target, found := state.targets.neighbours.take(d.random); found {
+		if target, found := state.targets.neighbours.nextMember(d.random); found {
 			d.probeLocked(target)
 		}
 	}
 }
 
-// neighbourProbesLocked returns how many members of the neighbour zones to probe
-// now, so that the whole zone probes each of them once in NeighbourPeriods.
+// neighbourProbesLocked returns how many members of the neighbour zones this node
+// probes in this period. The nodes of a zone together probe each such member once
+// in NeighbourPeriods periods on average, unless maxNeighbourProbes limits them. A
+// node that is alone in its zone probes at least one per period.
 func (d *HeartbeatDetector) neighbourProbesLocked() int {
 	state := &d.probing
 	zoneSize := len(state.targets.zone.members) + 1
@@ -105,7 +113,8 @@
 	return suspects
 }
 
-// probeLocked begins a round: a direct probe, then indirect ones.
+// probeLocked starts a probe round: a direct probe and, if that fails, indirect
+// ones. It does nothing while a round for the target is in flight.
 func (d *HeartbeatDetector) probeLocked(target Member) {
 	id := target.ID()
 	if d.probing.inFlight[id] {
@@ -116,48 +125,49 @@
 		d.mutex.Lock()
 		defer d.mutex.Unlock()
 		if isProbeReply(reply, err) {
-			d.roundEndedLocked(target, true)
+			d.completeRoundLocked(target, true)
 			return
 		}
 		d.probeIndirectlyLocked(target)
 	})
 }
 
-// probeIndirectlyLocked asks others to probe the target: only the way to it may
-// be faulty.
+// probeIndirectlyLocked asks other members to probe the target, since only the
+// network path between this node and the target may be faulty.
 func (d *HeartbeatDetector) probeIndirectlyLocked(target Member) {
-	helpers := d.probing.targets.helpers(target, d.options.Helpers, d.mayHelpLocked, d.random)
-	waiting := len(helpers)
+	probers := d.probing.targets.drawIndirectProbers(target, d.options.IndirectProbers, d.notSuspectedLocked, d.random)
+	waiting := len(probers)
 	if waiting == 0 {
-		d.roundEndedLocked(target, false)
+		d.completeRoundLocked(target, false)
 		return
 	}
-	ended := false
+	completed := false
 	message := IndirectProbeMessage{Target: target.ID(), Address: target.PeerAddress}
-	for _, helper := range helpers {
-		d.transport.Call(helper.PeerAddress, message, d.options.IndirectTimeout, func(reply peer.Message, err error) {
+	for _, prober := range probers {
+		d.transport.Call(prober.PeerAddress, message, d.options.IndirectTimeout, func(reply peer.Message, err error) {
 			d.mutex.Lock()
 			defer d.mutex.Unlock()
 			waiting--
 			answered := isProbeReply(reply, err)
-			if !ended && (answered || waiting == 0) {
-				ended = true
-				d.roundEndedLocked(target, answered)
+			if !completed && (answered || waiting == 0) {
+				completed = true
+				d.completeRoundLocked(target, answered)
 			}
 		})
 	}
 }
 
-func (d *HeartbeatDetector) mayHelpLocked(member Member) bool {
+func (d *HeartbeatDetector) notSuspectedLocked(member Member) bool {
 	return d.probing.suspects[member.ID()] == nil
 }
 
-// roundEndedLocked counts a round that a registered member left unanswered.
-func (d *HeartbeatDetector) roundEndedLocked(target Member, answered bool) {
+// completeRoundLocked records the result of a probe round: an unanswered round of
+// a registered member makes it a suspect, an answer clears it.
+func (d *HeartbeatDetector) completeRoundLocked(target Member, answered bool) {
 	id := target.ID()
 	delete(d.probing.inFlight, id)
-	known := d.registered[target.Name]
-	if answered || known == nil || known.record.Member.ID() != id {
+	entry := d.registered[target.Name]
+	if answered || entry == nil || entry.record.Member.ID() != id {
 		delete(d.probing.suspects, id)
 		return
 	}
@@ -172,7 +182,8 @@
 	return err == nil && isReply
 }
 
-// handleProbe answers a probe that is meant for this member.
+// handleProbe answers a probe of this member. A probe of another member or
+// incarnation gets an error.
 func (d *HeartbeatDetector) handleProbe(_ string, message peer.Message, reply func(peer.Message, error)) {
 	d.mutex.Lock()
 	self := d.self.ID()
@@ -184,7 +195,8 @@
 	reply(ProbeReply{}, nil)
 }
 
-// handleIndirectProbe probes a member in the sender's place.
+// handleIndirectProbe probes a member on behalf of the sender and forwards the
+// reply.
 func (d *HeartbeatDetector) handleIndirectProbe(_ string, message peer.Message, reply func(peer.Message, error)) {
 	request := message.(IndirectProbeMessage)
 	d.transport.Call(request.Address, ProbeMessage{Target: request.Target}, d.options.DirectTimeout, reply)
--- a/internal/membership/heartbeat_record.go
+++ b/internal/membership/heartbeat_record.go
@@ -7,18 +7,21 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// HeartbeatPrefix is where a HeartbeatDetector registers members. It differs
-// from MemberPrefix, so that the two detectors never read each other's records.
+// HeartbeatPrefix is the key prefix of the records of a HeartbeatDetector. It
+// differs from MemberPrefix, so that the two detectors never read each other's
+// records.
 const HeartbeatPrefix = "heartbeat-members/"
 
-// heartbeatRecord is the value of a member's key. It is under no lease: a
-// record stands until its member withdraws or is removed.
+// heartbeatRecord is the value of a member's key, encoded as JSON. It is attached
+// to no lease: a record exists until its member withdraws or is removed.
 type heartbeatRecord struct {
 	Member Member
-	// Accused: the member left its peers' probes unanswered. It writes the
-	// record anew without the accusation, or is removed.
+	// Accused marks a member that left its peers' probes unanswered. The member
+	// refutes this by writing the record without the mark; otherwise it is
+	// removed.
 	Accused bool
-	// Refutations counts the accusations that the member refuted lately.
+	// Refutations counts the accusations that the member refuted recently; see
+	// refutationWindow.
 	Refutations int
 }
 
@@ -30,45 +33,48 @@
 	return encoded
 }
 
-// registeredMember is a record as last seen.
+// registeredMember is the newest observed record of a member.
 type registeredMember struct {
 	record      heartbeatRecord
 	modRevision int64
-	// seenAt is when this node first saw this revision of the record.
+	// seenAt is when this node first observed this revision of the record.
 	seenAt time.Time
 }
 
-// registeredMembers are all records by the members' names.
+// registeredMembers holds the records by member name.
 type registeredMembers map[string]*registeredMember
 
-// observe takes notice of a record; it reports whether that is news.
+// observe stores a record and reports whether it is newer than the stored one. It
+// returns an error if the record can't be decoded.
 func (m registeredMembers) observe(keyValue outside.KeyValue, now time.Time) (bool, error) {
 	var record heartbeatRecord
 	if err := json.Unmarshal(keyValue.Value, &record); err != nil {
 		return false, err
 	}
 	name := keyValue.Key[len(HeartbeatPrefix):]
-	known := m[name]
-	if known != nil && known.modRevision >= keyValue.ModRevision {
+	entry := m[name]
+	if entry != nil && entry.modRevision >= keyValue.ModRevision {
 		return false, nil
 	}
 	m[name] = &registeredMember{record: record, modRevision: keyValue.ModRevision, seenAt: now}
 	return true, nil
 }
 
-// remove forgets a record that was absent at a revision.
+// remove deletes a record that did not exist at the revision, unless a newer one
+// is stored.
 func (m registeredMembers) remove(name string, revision int64) {
-	known := m[name]
-	if known != nil && known.modRevision <= revision {
+	entry := m[name]
+	if entry != nil && entry.modRevision <= revision {
 		delete(m, name)
 	}
 }
 
-// replace takes a reading of all records.
-func (m registeredMembers) replace(reading outside.RangeResult, now time.Time) error {
-	present := make(map[string]bool, len(reading.KeyValues))
+// replace applies a snapshot of all records. It returns the last decoding error;
+// the other records are applied even so.
+func (m registeredMembers) replace(snapshot outside.RangeResult, now time.Time) error {
+	present := make(map[string]bool, len(snapshot.KeyValues))
 	var failure error
-	for _, keyValue := range reading.KeyValues {
+	for _, keyValue := range snapshot.KeyValues {
 		present[keyValue.Key[len(HeartbeatPrefix):]] = true
 		if _, err := m.observe(keyValue, now); err != nil {
 			failure = err
@@ -76,7 +82,7 @@
 	}
 	for name := range m {
 		if !present[name] {
-			m.remove(name, reading.Revision)
+			m.remove(name, snapshot.Revision)
 		}
 	}
 	return failure
--- a/internal/membership/heartbeat_registration.go
+++ b/internal/membership/heartbeat_registration.go
@@ -7,30 +7,33 @@
 )
 
 const (
-	// refutationMemory is how long a refutation counts for the next one.
-	refutationMemory = time.Hour
-	// rejoinMemory is how long a member must have been registered for its next
-	// removal to count as the first.
-	rejoinMemory = 10 * time.Minute
-	// withdrawTries is how often the withdrawal of the own record is tried
-	// against other writers of the record.
-	withdrawTries = 3
+	// refutationWindow is the time after a refutation in which the next one adds
+	// to the count; after it the count restarts.
+	refutationWindow = time.Hour
+	// rejoinBackoffReset is how long a member must have been registered for its
+	// rejoin backoff to restart at the minimum when it is removed.
+	rejoinBackoffReset = 10 * time.Minute
+	// maxWithdrawAttempts is the maximum number of attempts at deleting the own
+	// record when other nodes write it concurrently.
+	maxWithdrawAttempts = 3
 )
 
-// registrationState is what is known of this node's own record.
+// registrationState is the state of this node's own record.
 type registrationState struct {
-	// busy: a write is under way, or a pause before the next.
+	// busy: a write is in flight, or the pause before the next one.
 	busy bool
-	// everRegistered: the record was this incarnation's at least once.
+	// everRegistered: the record has named this incarnation at least once.
 	everRegistered bool
-	// superseded by a later incarnation: this node stays away.
+	// superseded: a later incarnation has registered, so this one does not
+	// register again.
 	superseded bool
-	// rejoining: the pause before a registration after a removal is over.
-	rejoining    bool
-	registeredAt time.Time
-	refutedAt    time.Time
-	retry        backoff
-	rejoin       backoff
+	// rejoinAllowed: this node was removed, and the pause before it registers
+	// again is over.
+	rejoinAllowed bool
+	registeredAt  time.Time
+	refutedAt     time.Time
+	retry         backoff
+	rejoin        backoff
 }
 
 func newRegistrationState(options HeartbeatOptions) registrationState {
@@ -40,54 +43,57 @@
 	}
 }
 
-// noteOwnRecordLocked takes notice of the own record as it stands.
-func (d *HeartbeatDetector) noteOwnRecordLocked() {
-	known := d.registered[d.self.Name]
+// observeOwnRecordLocked updates the registration state from the own record as
+// last observed.
+func (d *HeartbeatDetector) observeOwnRecordLocked() {
+	entry := d.registered[d.self.Name]
 	state := &d.registration
 	switch {
-	case known == nil:
-	case known.record.Member.Incarnation == d.self.Incarnation:
-		if !state.everRegistered || state.rejoining {
+	case entry == nil:
+	case entry.record.Member.Incarnation == d.self.Incarnation:
+		if !state.everRegistered || state.rejoinAllowed {
 			state.registeredAt = d.clock.Now()
 		}
 		state.everRegistered = true
-		state.rejoining = false
+		state.rejoinAllowed = false
 	case state.everRegistered && !state.superseded:
 		state.superseded = true
-		d.log.Error().Str("member", d.self.ID()).Str("by", known.record.Member.ID()).
+		d.log.Error().Str("member", d.self.ID()).Str("by", entry.record.Member.ID()).
 			Msg("another incarnation took this node's place")
 	}
 }
 
-// convergeLocked makes the own record equal to what it should be, one write at
-// a time. It does not wait for the first reading: a write that finds the record
-// of a former incarnation fails and shows that record.
-func (d *HeartbeatDetector) convergeLocked() {
+// reconcileOwnRecordLocked writes the own record if it differs from the desired
+// one, one write at a time. It does not wait for the first snapshot: if a former
+// incarnation's record exists, the write fails and returns that record.
+func (d *HeartbeatDetector) reconcileOwnRecordLocked() {
 	state := &d.registration
 	if d.stopped || state.busy || state.superseded {
 		return
 	}
-	known := d.registered[d.self.Name]
-	if known == nil && state.everRegistered && !state.rejoining {
-		d.rejoinLaterLocked()
+	entry := d.registered[d.self.Name]
+	if entry == nil && state.everRegistered && !state.rejoinAllowed {
+		d.scheduleRejoinLocked()
 		return
 	}
-	desired := d.desiredRecordLocked(known)
-	if known == nil {
+	desired := d.desiredRecordLocked(entry)
+	if entry == nil {
 		d.writeOwnLocked(desired, 0)
-	} else if known.record != desired {
-		d.writeOwnLocked(desired, known.modRevision)
+	} else if entry.record != desired {
+		d.writeOwnLocked(desired, entry.modRevision)
 	}
 }
 
-func (d *HeartbeatDetector) desiredRecordLocked(known *registeredMember) heartbeatRecord {
+// desiredRecordLocked returns the record that this node should have: never
+// accused, and with the refutations counted.
+func (d *HeartbeatDetector) desiredRecordLocked(entry *registeredMember) heartbeatRecord {
 	desired := heartbeatRecord{Member: d.self}
-	if known == nil || known.record.Member.Incarnation != d.self.Incarnation {
+	if entry == nil || entry.record.Member.Incarnation != d.self.Incarnation {
 		return desired
 	}
-	desired.Refutations = known.record.Refutations
-	if known.record.Accused {
-		if d.clock.Now().Sub(d.registration.refutedAt) > refutationMemory {
+	desired.Refutations = entry.record.Refutations
+	if entry.record.Accused {
+		if d.clock.Now().Sub(d.registration.refutedAt) > refutationWindow {
 			desired.Refutations = 0
 		}
 		desired.Refutations++
@@ -95,28 +101,32 @@
 	return desired
 }
 
-// rejoinLaterLocked registers again after a pause that grows while this node
-// is removed time and again.
-func (d *HeartbeatDetector) rejoinLaterLocked() {
+// scheduleRejoinLocked registers this node again after a pause that grows with
+// each removal in quick succession.
+func (d *HeartbeatDetector) scheduleRejoinLocked() {
 	state := &d.registration
-	if d.clock.Now().Sub(state.registeredAt) > rejoinMemory {
+	if d.clock.Now().Sub(state.registeredAt) > rejoinBackoffReset {
 		state.rejoin.reset()
 	}
 	d.log.Warn().Str("member", d.self.ID()).Str("reason", "record removed").Msg("registering again")
-	d.pauseLocked(state.rejoin.next(d.random), func() { state.rejoining = true })
+	d.reconcileAfterLocked(state.rejoin.next(d.random), func() { state.rejoinAllowed = true })
 }
 
-func (d *HeartbeatDetector) pauseLocked(pause time.Duration, after func()) {
+// reconcileAfterLocked reconciles the own record after a pause, in which no write
+// is started. It calls after with the lock held before that.
+func (d *HeartbeatDetector) reconcileAfterLocked(pause time.Duration, after func()) {
 	d.registration.busy = true
 	d.clock.AfterFunc(pause, func() {
 		d.mutex.Lock()
 		defer d.mutex.Unlock()
 		d.registration.busy = false
 		after()
-		d.convergeLocked()
+		d.reconcileOwnRecordLocked()
 	})
 }
 
+// writeOwnLocked writes the own record if its revision is still modRevision; 0
+// stands for no record.
 func (d *HeartbeatDetector) writeOwnLocked(desired heartbeatRecord, modRevision int64) {
 	state := &d.registration
 	state.busy = true
@@ -125,7 +135,7 @@
 	d.transactLocked(key, modRevision, operation, func(_ bool, err error) {
 		state.busy = false
 		if err != nil {
-			d.pauseLocked(state.retry.next(d.random), func() {})
+			d.reconcileAfterLocked(state.retry.next(d.random), func() {})
 			return
 		}
 		state.retry.reset()
@@ -135,20 +145,21 @@
 	})
 }
 
-// withdrawLocked deletes the own record, unless a later incarnation has it.
-func (d *HeartbeatDetector) withdrawLocked(tries int, done func()) {
-	known := d.registered[d.self.Name]
-	if tries == 0 || known == nil || known.record.Member.Incarnation != d.self.Incarnation {
+// withdrawLocked deletes the own record, unless another incarnation has written
+// it. done is called afterwards, also after a failure.
+func (d *HeartbeatDetector) withdrawLocked(attempts int, done func()) {
+	entry := d.registered[d.self.Name]
+	if attempts == 0 || entry == nil || entry.record.Member.Incarnation != d.self.Incarnation {
 		d.clock.AfterFunc(0, done)
 		return
 	}
 	key := HeartbeatPrefix + d.self.Name
 	operation := outside.Operation{Kind: outside.OperationDelete, Key: key}
-	d.transactLocked(key, known.modRevision, operation, func(succeeded bool, err error) {
+	d.transactLocked(key, entry.modRevision, operation, func(succeeded bool, err error) {
 		if succeeded || err != nil {
 			d.clock.AfterFunc(0, done)
 			return
 		}
-		d.withdrawLocked(tries-1, done)
+		d.withdrawLocked(attempts-1, done)
 	})
 }
--- a/internal/membership/heartbeat_removal.go
+++ b/internal/membership/heartbeat_removal.go
@@ -9,96 +9,104 @@
 const (
 	// maxHoldDoublings bounds the growth of RefutationHold.
 	maxHoldDoublings = 5
-	// maxAccusationPause bounds the pause of an accuser that was wrong.
-	maxAccusationPause = time.Minute
+	// maxAccusationBackoff bounds the pause after an accusation that was refuted.
+	maxAccusationBackoff = time.Minute
 )
 
-// removalState is what this node knows of its own accusations.
-type removalState struct {
-	// pause after an accusation that was refuted: this node may be the one
-	// that is cut off.
-	pause backoff
-	// accuseAfter is when this node may accuse again.
-	accuseAfter time.Time
+// accusationState limits the accusations that this node writes.
+type accusationState struct {
+	// backoff computes the pause after an accusation that was refuted: this node
+	// may be the one that is partitioned.
+	backoff backoff
+	// pausedUntil is when this node may accuse again.
+	pausedUntil time.Time
 }
 
-func newRemovalState(options HeartbeatOptions) removalState {
-	return removalState{pause: backoff{minimum: options.Period, maximum: maxAccusationPause}}
+func newAccusationState(options HeartbeatOptions) accusationState {
+	return accusationState{backoff: backoff{minimum: options.Period, maximum: maxAccusationBackoff}}
 }
 
-// judgeLocked accuses the suspects, and removes those that were accused and did
-// not refute. It does nothing while this node's own knowledge is doubtful.
-func (d *HeartbeatDetector) judgeLocked(now time.Time) {
+// evaluateSuspectsLocked accuses suspects, and removes those that did not refute
+// an accusation in time. It does nothing while this node's watch is interrupted,
+// since its view of the records may be stale, and before this node is registered.
+func (d *HeartbeatDetector) evaluateSuspectsLocked(now time.Time) {
 	if d.interrupted || !d.registration.everRegistered {
 		return
 	}
 	for _, suspect := range d.sortedSuspectsLocked() {
 		if suspect.failedRounds > d.options.SuspicionRounds && !suspect.writing && !now.Before(suspect.retryAt) {
-			d.judgeSuspectLocked(suspect, now)
+			d.evaluateSuspectLocked(suspect, now)
 		}
 	}
 }
 
-func (d *HeartbeatDetector) judgeSuspectLocked(suspect *suspect, now time.Time) {
-	known := d.registered[suspect.member.Name]
-	if known.record.Accused {
-		if now.Sub(known.seenAt) >= d.refutationGraceLocked(now) {
-			d.removeLocked(suspect, known)
+func (d *HeartbeatDetector) evaluateSuspectLocked(suspect *suspect, now time.Time) {
+	entry := d.registered[suspect.member.Name]
+	if entry.record.Accused {
+		if now.Sub(entry.seenAt) >= d.refutationGraceLocked(now) {
+			d.removeLocked(suspect, entry)
 		}
 		return
 	}
-	if suspect.accusedHere {
-		suspect.accusedHere = false
-		d.removal.accuseAfter = now.Add(d.removal.pause.next(d.random))
+	if suspect.accusedBySelf {
+		suspect.accusedBySelf = false
+		d.accusations.pausedUntil = now.Add(d.accusations.backoff.next(d.random))
 	}
-	if now.Before(d.removal.accuseAfter) || now.Sub(known.seenAt) < d.refutationHold(known.record) {
+	if now.Before(d.accusations.pausedUntil) || now.Sub(entry.seenAt) < d.refutationHold(entry.record) {
 		return
 	}
-	d.accuseLocked(suspect, known)
+	d.accuseLocked(suspect, entry)
 }
 
-// trouble is why accusations may go unnoticed by the accused for a while.
-type trouble struct {
+// graceExtension is a longer grace period that applies for a limited time after a
+// fault, since accused members may not have observed their accusations.
+type graceExtension struct {
+	// at is when the fault was observed; grace is both the grace period and how
+	// long it applies.
 	at    time.Time
 	grace time.Duration
 }
 
-// note keeps the longer grace while an earlier one lasts.
-func (t *trouble) note(now time.Time, grace time.Duration) {
+// extend starts an extension by grace, or by that of an unexpired earlier one if
+// that is longer.
+func (t *graceExtension) extend(now time.Time, grace time.Duration) {
 	t.grace = max(grace, t.graceAt(now))
 	t.at = now
 }
 
-// graceAt returns the grace that still applies, or zero.
-func (t *trouble) graceAt(now time.Time) time.Duration {
+// graceAt returns the extended grace period if it still applies, or zero.
+func (t *graceExtension) graceAt(now time.Time) time.Duration {
 	if t.at.IsZero() || now.Sub(t.at) >= t.grace {
 		return 0
 	}
 	return t.grace
 }
 
-// interruptionEndedLocked notes what an interruption of the watch tells of the
-// others' watches: one that ended with the first reading may have been a blip
-// that they too recover from at once; a longer one was an outage.
+// interruptionEndedLocked extends the grace after an interruption of the watch,
+// which may have hit the watches of other nodes too. If the first read afterwards
+// succeeded, the interruption may have been brief, and the other nodes recover at
+// once as well; a longer one counts as an outage.
 func (d *HeartbeatDetector) interruptionEndedLocked(now time.Time) {
 	if !d.interrupted {
 		return
 	}
 	d.interrupted = false
-	if now.Sub(d.interruptedAt) <= d.options.Watch.RecoverySpread+d.options.Timeout {
-		d.trouble.note(now, d.options.BlipGrace)
+	if now.Sub(d.interruptedAt) <= d.options.Watch.RecoveryJitter+d.options.Timeout {
+		d.graceExtension.extend(now, d.options.BriefInterruptionGrace)
 		return
 	}
-	d.trouble.note(now, d.options.OutageGrace)
+	d.graceExtension.extend(now, d.options.OutageGrace)
 }
 
-// refutationGraceLocked returns how long an accusation must have stood.
+// refutationGraceLocked returns how long an accusation must have been in the
+// record before the member may be removed.
 func (d *HeartbeatDetector) refutationGraceLocked(now time.Time) time.Duration {
-	return max(d.options.RefutationGrace, d.trouble.graceAt(now))
+	return max(d.options.RefutationGrace, d.graceExtension.graceAt(now))
 }
 
-// refutationHold returns how long a record must have stood before its member
-// may be accused.
+// refutationHold returns how long a record must have been unchanged before its
+// member may be accused. It doubles with each refutation, up to
+// maxHoldDoublings times.
 func (d *HeartbeatDetector) refutationHold(record heartbeatRecord) time.Duration {
 	if record.Refutations == 0 {
 		return 0
@@ -106,32 +114,35 @@
 	return d.options.RefutationHold << min(record.Refutations-1, maxHoldDoublings)
 }
 
-func (d *HeartbeatDetector) accuseLocked(suspect *suspect, known *registeredMember) {
-	accusation := known.record
+// accuseLocked writes an accusation into the suspect's record.
+func (d *HeartbeatDetector) accuseLocked(suspect *suspect, entry *registeredMember) {
+	accusation := entry.record
 	accusation.Accused = true
 	key := HeartbeatPrefix + suspect.member.Name
 	operation := outside.Operation{Kind: outside.OperationPut, Key: key, Value: accusation.encode()}
-	d.writeVerdictLocked(suspect, known, operation, func() {
-		suspect.accusedHere = true
+	d.writeSuspectRecordLocked(suspect, entry, operation, func() {
+		suspect.accusedBySelf = true
 		d.log.Info().Str("member", suspect.member.ID()).Str("reason", "probes unanswered").Msg("member accused")
 	})
 }
 
-// removeLocked deletes the record if the accusation still stands there.
-func (d *HeartbeatDetector) removeLocked(suspect *suspect, known *registeredMember) {
+// removeLocked deletes the suspect's record, unless the record was changed since
+// the accusation.
+func (d *HeartbeatDetector) removeLocked(suspect *suspect, entry *registeredMember) {
 	key := HeartbeatPrefix + suspect.member.Name
 	operation := outside.Operation{Kind: outside.OperationDelete, Key: key}
-	d.writeVerdictLocked(suspect, known, operation, func() {
-		d.removal.pause.reset()
+	d.writeSuspectRecordLocked(suspect, entry, operation, func() {
+		d.accusations.backoff.reset()
 		d.log.Info().Str("member", suspect.member.ID()).Str("reason", "accusation not refuted").Msg("member removed")
 	})
 }
 
-// writeVerdictLocked makes one try. Whatever the reply, the next tick goes by
-// the record as it then stands, so a lost reply needs no special care.
-func (d *HeartbeatDetector) writeVerdictLocked(suspect *suspect, known *registeredMember, operation outside.Operation, succeeded func()) {
+// writeSuspectRecordLocked makes one attempt at an accusation or a removal. Since
+// the next tick acts on the record as it then is, whatever the reply was, a lost
+// reply needs no special handling.
+func (d *HeartbeatDetector) writeSuspectRecordLocked(suspect *suspect, entry *registeredMember, operation outside.Operation, succeeded func()) {
 	suspect.writing = true
-	d.transactLocked(operation.Key, known.modRevision, operation, func(done bool, err error) {
+	d.transactLocked(operation.Key, entry.modRevision, operation, func(done bool, err error) {
 		suspect.writing = false
 		if err != nil {
 			suspect.retryAt = d.clock.Now().Add(jittered(d.random, d.options.Timeout))
--- a/internal/membership/heartbeat_test.go
+++ b/internal/membership/heartbeat_test.go
@@ -15,7 +15,7 @@
 	"github.com/hatchplank/hatchplank/internal/standin/keyvalue"
 )
 
-// newHeartbeatCluster starts nodes "<zone><number>" in zones a, b, c, ….
+// newHeartbeatCluster starts nodes named "<zone><number>" in zones a, b, c, ….
 func newHeartbeatCluster(seed uint64, zones, nodesPerZone int) *cluster {
 	c := newCluster(seed, 0)
 	c.heartbeat = true
@@ -28,8 +28,8 @@
 	return c
 }
 
-// loseMessages makes the ways between nodes lose a share of the messages.
-func (c *cluster) loseMessages(loss float64) {
+// setMessageLoss sets the share of messages that are lost between nodes.
+func (c *cluster) setMessageLoss(loss float64) {
 	c.network.ConditionsOf = func(from, to string) simulation.Conditions {
 		conditions := simulation.Conditions{Delay: simulation.DefaultDelay}
 		if from != "kv" && to != "kv" {
@@ -39,12 +39,13 @@
 	}
 }
 
-// cutPeers cuts the ways between nodes for which cut holds.
-func (c *cluster) cutPeers(cut func(from, to string) bool) {
+// partitionPeers cuts the network paths between nodes for which cut is true. The
+// paths to the key-value service stay.
+func (c *cluster) partitionPeers(cut func(from, to string) bool) {
 	c.network.Cut = func(from, to string) bool { return from != "kv" && to != "kv" && cut(from, to) }
 }
 
-func (c *cluster) heal() {
+func (c *cluster) repair() {
 	c.network.Cut = func(string, string) bool { return false }
 	c.store.SetFaults(keyvalue.Faults{})
 	for _, n := range c.nodes {
@@ -52,7 +53,7 @@
 	}
 }
 
-// removals lists the names whose records were deleted, by anybody.
+// removals lists the names of members whose records were deleted, by any node.
 func (c *cluster) removals() []string {
 	names := []string{}
 	for _, written := range c.store.Records(0) {
@@ -80,23 +81,23 @@
 	var c *cluster
 	BeforeEach(func() {
 		c = newHeartbeatCluster(1, 3, 4)
-		c.loseMessages(0.05)
+		c.setMessageLoss(0.05)
 		c.loop.RunFor(time.Minute)
 		c.expectMembers(c.liveNames()...)
 	})
 
-	DescribeTable("removes who is gone, and nobody else, after",
+	DescribeTable("removes exactly the failed members after",
 		func(fault func(), within time.Duration, removed ...string) {
 			fault()
 			c.loop.RunFor(within)
 			Expect(c.removals()).To(ConsistOf(removed))
-			c.heal()
+			c.repair()
 			c.loop.RunFor(time.Minute)
 			c.expectMembers(c.liveNames()...)
 		},
-		Entry("a death", func() { c.nodes["a1"].process.Kill() }, 15*time.Second, "a1"),
-		Entry("the loss of a zone", func() { c.killZone("a") }, 30*time.Second, "a0", "a1", "a2", "a3"),
-		Entry("the loss of neighbouring zones", func() { c.killZone("a"); c.killZone("b") }, time.Minute,
+		Entry("a crash", func() { c.nodes["a1"].process.Kill() }, 15*time.Second, "a1"),
+		Entry("the failure of a zone", func() { c.killZone("a") }, 30*time.Second, "a0", "a1", "a2", "a3"),
+		Entry("the failure of neighbouring zones", func() { c.killZone("a"); c.killZone("b") }, time.Minute,
 			"a0", "a1", "a2", "a3", "b0", "b1", "b2", "b3"),
 		Entry("a pause of some seconds", func() {
 			c.nodes["a1"].process.Pause()
@@ -106,36 +107,36 @@
 		Entry("a long pause", func() { c.nodes["a1"].process.Pause() }, 20*time.Second, "a1"),
 		Entry("a restart under the same name", func() { c.start("a1") }, time.Minute),
 		Entry("a partition between a zone and the others", func() {
-			c.cutPeers(func(from, to string) bool { return c.zoneOf(from) != c.zoneOf(to) })
+			c.partitionPeers(func(from, to string) bool { return c.zoneOf(from) != c.zoneOf(to) })
 		}, 10*time.Minute),
-		Entry("a node cut off from its peers", func() {
-			c.cutPeers(func(from, to string) bool { return from == "a1" || to == "a1" })
+		Entry("a node partitioned from its peers", func() {
+			c.partitionPeers(func(from, to string) bool { return from == "a1" || to == "a1" })
 		}, 10*time.Minute),
-		Entry("a node that reaches nobody but hears all", func() {
-			c.cutPeers(func(from, _ string) bool { return from == "a1" })
+		Entry("a node that receives messages of its peers but reaches none", func() {
+			c.partitionPeers(func(from, _ string) bool { return from == "a1" })
 		}, 10*time.Minute),
-		Entry("a node cut off from everything", func() {
+		Entry("a node partitioned from its peers and the key-value service", func() {
 			c.network.Cut = func(from, to string) bool { return from == "a1" || to == "a1" }
 		}, 20*time.Second, "a1"),
-		Entry("a node cut off from the key-value service alone", func() {
+		Entry("a node partitioned from the key-value service only", func() {
 			c.network.Cut = func(from, to string) bool { return from+to == "a1kv" || from+to == "kva1" }
 		}, 10*time.Minute),
-		Entry("an outage", func() { c.store.SetFaults(keyvalue.Faults{Outage: true}) }, time.Hour),
-		Entry("a death in an outage, while that lasts", func() {
+		Entry("an outage of the service", func() { c.store.SetFaults(keyvalue.Faults{Outage: true}) }, time.Hour),
+		Entry("a crash during an outage, before the service returns", func() {
 			c.store.SetFaults(keyvalue.Faults{Outage: true})
 			c.nodes["a1"].process.Kill()
 		}, 10*time.Minute),
-		Entry("a death with lost replies", func() {
+		Entry("a crash while replies of the service are lost", func() {
 			c.store.SetFaults(keyvalue.Faults{LostReplies: 0.7})
 			c.nodes["a1"].process.Kill()
 		}, time.Minute, "a1"),
-		Entry("a death while the service admits little", func() {
+		Entry("a crash while the service limits operations", func() {
 			c.store.SetFaults(keyvalue.Faults{OperationsPerSecond: 0.5, Burst: 1})
 			c.nodes["a1"].process.Kill()
 		}, time.Minute, "a1"),
 	)
 
-	It("lets a restarted node replace its former incarnation, for good", func() {
+	It("lets a restarted node replace its former incarnation permanently", func() {
 		paused := c.nodes["b1"].process
 		paused.Pause()
 		delete(c.nodes, "b1")
@@ -162,29 +163,29 @@
 		c.expectMembers(c.liveNames()...)
 	})
 
-	It("asks the key-value service for next to nothing in steady state", func() {
+	It("makes few calls to the key-value service in steady state", func() {
 		before := c.store.Counters().Total()
 		c.loop.RunFor(time.Hour)
 		perNodeAndSecond := float64(c.store.Counters().Total()-before) / 3600 / 12
 		ownership := 2 / membership.DefaultOwnershipOptions().Watch.ResyncInterval.Seconds()
-		rereads := 2 / membership.DefaultHeartbeatOptions(time.Second).Watch.ResyncInterval.Seconds()
-		Expect(perNodeAndSecond).To(BeNumerically("<=", 1.5*(ownership+rereads)))
+		resyncs := 2 / membership.DefaultHeartbeatOptions(time.Second).Watch.ResyncInterval.Seconds()
+		Expect(perNodeAndSecond).To(BeNumerically("<=", 1.5*(ownership+resyncs)))
 	})
 
-	It("does not accuse a member that refutes ever more often", func() {
-		c.cutPeers(func(from, to string) bool { return from == "a1" || to == "a1" })
+	It("accuses a member ever less often while it keeps refuting", func() {
+		c.partitionPeers(func(from, to string) bool { return from == "a1" || to == "a1" })
 		writes := len(c.store.Records(0))
 		c.loop.RunFor(time.Hour)
 		Expect(len(c.store.Records(0)) - writes).To(BeNumerically("<", 200))
 	})
 })
 
-var _ = Describe("HeartbeatDetector, as a property", func() {
-	It("never removes a live member for lost messages", func() {
+var _ = Describe("HeartbeatDetector properties", func() {
+	It("never removes a live member because of lost messages", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			zones := rapid.IntRange(1, 4).Draw(t, "zones")
 			c := newHeartbeatCluster(rapid.Uint64().Draw(t, "seed"), zones, rapid.IntRange(1, 4).Draw(t, "nodes"))
-			c.loseMessages(rapid.Float64Range(0, 0.05).Draw(t, "loss"))
+			c.setMessageLoss(rapid.Float64Range(0, 0.05).Draw(t, "loss"))
 			c.loop.RunFor(30 * time.Minute)
 			if removed := c.removals(); len(removed) > 0 {
 				t.Fatalf("removed %v", removed)
@@ -193,15 +194,15 @@
 		})
 	})
 
-	It("lets all live members agree again, whatever fails", func() {
+	It("makes all live members agree again after any faults", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			c := newHeartbeatCluster(rapid.Uint64().Draw(t, "seed"), 3, 3)
-			c.loseMessages(0.05)
+			c.setMessageLoss(0.05)
 			for range rapid.IntRange(3, 12).Draw(t, "faults") {
 				drawFault(t, c)
 				c.loop.RunFor(time.Duration(rapid.IntRange(1, 60).Draw(t, "seconds")) * time.Second)
 			}
-			c.heal()
+			c.repair()
 			c.loop.RunFor(4 * time.Minute)
 			checkAgreement(t, c)
 		})
@@ -237,11 +238,11 @@
 	case 5:
 		c.store.SetFaults(keyvalue.Faults{WatchGaps: 0.3, WatchGapDelay: time.Second, OperationsPerSecond: 3})
 	case 6:
-		c.cutPeers(func(from, to string) bool { return c.zoneOf(from) != c.zoneOf(to) })
+		c.partitionPeers(func(from, to string) bool { return c.zoneOf(from) != c.zoneOf(to) })
 	case 7:
 		c.network.Cut = func(from, to string) bool { return from == name || to == name }
 	case 8:
-		c.heal()
+		c.repair()
 	}
 }
 
@@ -249,7 +250,7 @@
 	live := strings.Join(c.liveNames(), " ")
 	for name, n := range c.nodes {
 		if known := strings.Join(n.memberNames(), " "); !n.process.Killed() && known != live {
-			t.Fatalf("%s knows %s, live are %s", name, known, live)
+			t.Fatalf("members at %s are %s, live nodes are %s", name, known, live)
 		}
 	}
 }
--- a/internal/membership/keywatch/watcher.go
+++ b/internal/membership/keywatch/watcher.go
@@ -1,6 +1,7 @@
-// Package keywatch keeps a reader informed of all keys with one prefix in the
-// key-value service: it reads the prefix, watches it from the revision read,
-// and starts over, with jittered backoff, whenever events may have been missed.
+// Package keywatch notifies a handler of all keys with one prefix in the key-value
+// service and of their changes. It reads the prefix, watches it from the revision
+// read, and starts again with a read, after a jittered backoff, whenever events may
+// have been missed.
 package keywatch
 
 import (
@@ -12,41 +13,45 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// Handler receives what the watcher learns. Calls never overlap. A handler may
-// call the key-value service, but not the watcher's Start and Stop.
+// Handler is notified by a Watcher. Calls never overlap. A handler may call the
+// key-value service, but not the watcher's Start and Stop.
 type Handler interface {
-	// Snapshot gives every key with the prefix at one revision.
-	Snapshot(reading outside.RangeResult)
-	// Changes gives what changed since the reading, in order of revision.
+	// Snapshot is called with all keys that have the prefix at one revision.
+	Snapshot(snapshot outside.RangeResult)
+	// Changes is called with the changes since the snapshot, in order of
+	// revision.
 	Changes(events []outside.WatchEvent)
-	// Interrupted tells that changes may go unnoticed until the next Reading.
+	// Interrupted is called when the watch or a read failed: changes may be missed
+	// until the next Snapshot.
 	Interrupted(err error)
 }
 
-// Options of a Watcher.
+// Options configure a Watcher.
 type Options struct {
+	// Prefix of the keys that are read and watched.
 	Prefix string
-	// Timeout of one reading.
+	// Timeout limits one read of the prefix.
 	Timeout time.Duration
-	// MinBackoff and MaxBackoff bound the pause before a failed reading is
-	// repeated; the pause doubles and is drawn at random from its upper half.
+	// MinBackoff and MaxBackoff bound the backoff before a failed read is repeated.
+	// It doubles with each failure, and the pause is drawn at random from its upper
+	// half.
 	MinBackoff, MaxBackoff time.Duration
-	// RecoverySpread is the span over which readings after a lost watch are
-	// spread, so that many nodes do not read at once.
-	RecoverySpread time.Duration
-	// ResyncInterval is the mean time between readings of an undisturbed watch;
-	// zero for none.
+	// RecoveryJitter is the maximum random pause before the read that follows a
+	// lost watch, so that many nodes do not read at once.
+	RecoveryJitter time.Duration
+	// ResyncInterval is the mean time between reads while the watch is not
+	// interrupted; zero disables them.
 	ResyncInterval time.Duration
 }
 
-// DefaultOptions returns the options used in a node.
+// DefaultOptions returns the options used in production, for a prefix.
 func DefaultOptions(prefix string) Options {
 	return Options{
 		Prefix:         prefix,
 		Timeout:        3 * time.Second,
 		MinBackoff:     500 * time.Millisecond,
 		MaxBackoff:     15 * time.Second,
-		RecoverySpread: 2 * time.Second,
+		RecoveryJitter: 2 * time.Second,
 		ResyncInterval: 10 * time.Minute,
 	}
 }
@@ -58,12 +63,13 @@
 	options Options
 	handler Handler
 
-	// delivery serialises the calls to the handler.
-	delivery sync.Mutex
+	// deliveryMutex serialises the calls to the handler.
+	deliveryMutex sync.Mutex
 
 	mutex  sync.Mutex
 	random *rand.Rand
-	// generation tells the present reading and watch from earlier ones.
+	// generation distinguishes the current read and watch from earlier ones, whose
+	// results are discarded.
 	generation uint64
 	running    bool
 	backoff    time.Duration
@@ -71,13 +77,13 @@
 	stopWatch  func()
 }
 
-// New returns a watcher that is not started. The source of randomness is used
-// by the watcher alone.
+// New returns a watcher that is not started. The random source must not be shared.
 func New(service outside.KeyValueService, c clock.Clock, random *rand.Rand, options Options, handler Handler) *Watcher {
 	return &Watcher{service: service, clock: c, random: random, options: options, handler: handler}
 }
 
-// Start begins with a reading at once.
+// Start reads the prefix at once and then watches it. It does nothing if the
+// watcher is running.
 func (w *Watcher) Start() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -89,16 +95,17 @@
 	w.readLocked()
 }
 
-// Stop ends reading and watching. A call to the handler may still be running.
+// Stop ends reads and the watch. A call to the handler may still be running when it
+// returns.
 func (w *Watcher) Stop() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.running = false
-	w.endLocked()
+	w.cancelLocked()
 }
 
-// endLocked makes all that is under way obsolete.
-func (w *Watcher) endLocked() {
+// cancelLocked cancels the current read, watch and timer.
+func (w *Watcher) cancelLocked() {
 	w.generation++
 	if w.timer != nil {
 		w.timer.Stop()
@@ -111,19 +118,19 @@
 }
 
 func (w *Watcher) readLocked() {
-	w.endLocked()
+	w.cancelLocked()
 	generation := w.generation
-	w.service.Range(w.options.Prefix, w.options.Timeout, func(reading outside.RangeResult, err error) {
-		w.readDone(generation, reading, err)
+	w.service.Range(w.options.Prefix, w.options.Timeout, func(snapshot outside.RangeResult, err error) {
+		w.handleReadResult(generation, snapshot, err)
 	})
 }
 
-func (w *Watcher) readDone(generation uint64, reading outside.RangeResult, err error) {
+func (w *Watcher) handleReadResult(generation uint64, snapshot outside.RangeResult, err error) {
 	if err != nil {
-		w.interrupted(generation, err, w.nextBackoff())
+		w.handleInterruption(generation, err, w.nextBackoff())
 		return
 	}
-	delivered := w.deliver(generation, func() { w.handler.Snapshot(reading) })
+	delivered := w.deliver(generation, func() { w.handler.Snapshot(snapshot) })
 	if !delivered {
 		return
 	}
@@ -134,14 +141,14 @@
 	}
 	w.backoff = w.options.MinBackoff
 	subscription := &subscription{watcher: w, generation: generation}
-	w.stopWatch = w.service.Watch(w.options.Prefix, reading.Revision, subscription)
+	w.stopWatch = w.service.Watch(w.options.Prefix, snapshot.Revision, subscription)
 	if w.options.ResyncInterval > 0 {
-		w.readAfterLocked(w.halfToThreeHalves(w.options.ResyncInterval))
+		w.scheduleReadLocked(w.jitteredIntervalLocked(w.options.ResyncInterval))
 	}
 }
 
-// interrupted tells the handler and schedules the next reading.
-func (w *Watcher) interrupted(generation uint64, err error, pause time.Duration) {
+// handleInterruption notifies the handler and schedules the next read.
+func (w *Watcher) handleInterruption(generation uint64, err error, pause time.Duration) {
 	if !w.deliver(generation, func() { w.handler.Interrupted(err) }) {
 		return
 	}
@@ -150,11 +157,11 @@
 	if w.generation != generation {
 		return
 	}
-	w.endLocked()
-	w.readAfterLocked(pause)
+	w.cancelLocked()
+	w.scheduleReadLocked(pause)
 }
 
-func (w *Watcher) readAfterLocked(pause time.Duration) {
+func (w *Watcher) scheduleReadLocked(pause time.Duration) {
 	generation := w.generation
 	w.timer = w.clock.AfterFunc(pause, func() {
 		w.mutex.Lock()
@@ -165,10 +172,11 @@
 	})
 }
 
-// deliver calls the handler unless the generation has passed.
+// deliver makes a call to the handler and returns true, unless the generation is no
+// longer current.
 func (w *Watcher) deliver(generation uint64, call func()) bool {
-	w.delivery.Lock()
-	defer w.delivery.Unlock()
+	w.deliveryMutex.Lock()
+	defer w.deliveryMutex.Unlock()
 	w.mutex.Lock()
 	current := w.generation == generation
 	w.mutex.Unlock()
@@ -178,32 +186,37 @@
 	return current
 }
 
+// nextBackoff returns the pause after a failed read and doubles the backoff.
 func (w *Watcher) nextBackoff() time.Duration {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	pause := w.backoff/2 + w.drawLocked(w.backoff/2)
+	pause := w.backoff/2 + w.randomBelowLocked(w.backoff/2)
 	w.backoff = min(2*w.backoff, w.options.MaxBackoff)
 	return pause
 }
 
+// recoveryPause returns the random pause after a lost watch.
 func (w *Watcher) recoveryPause() time.Duration {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.drawLocked(w.options.RecoverySpread)
+	return w.randomBelowLocked(w.options.RecoveryJitter)
 }
 
-func (w *Watcher) halfToThreeHalves(mean time.Duration) time.Duration {
-	return mean/2 + w.drawLocked(mean)
+// jitteredIntervalLocked returns a random duration between 50% and 150% of the mean.
+func (w *Watcher) jitteredIntervalLocked(mean time.Duration) time.Duration {
+	return mean/2 + w.randomBelowLocked(mean)
 }
 
-func (w *Watcher) drawLocked(limit time.Duration) time.Duration {
+// randomBelowLocked returns a uniformly distributed duration in [0, limit), or zero
+// if the limit is not positive.
+func (w *Watcher) randomBelowLocked(limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
 	}
 	return time.Duration(w.random.Int64N(int64(limit)))
 }
 
-// subscription is the watch of one generation.
+// subscription handles the watch events of one generation.
 type subscription struct {
 	watcher    *Watcher
 	generation uint64
@@ -216,5 +229,5 @@
 
 // Lost implements outside.WatchHandler.
 func (s *subscription) Lost(err error) {
-	s.watcher.interrupted(s.generation, err, s.watcher.recoveryPause())
+	s.watcher.handleInterruption(s.generation, err, s.watcher.recoveryPause())
 }
--- a/internal/membership/lease_detector.go
+++ b/internal/membership/lease_detector.go
@@ -13,11 +13,12 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// LeaseDetector takes for alive whose lease in the key-value service lives.
+// LeaseDetector is a Detector that treats a member as alive while its lease in the
+// key-value service is.
 //
-// Each member keeps one key under a lease. A key that goes missing removes its
-// member after a grace period. While the key-value service is out nobody is
-// removed, because nobody's absence is proved.
+// Each member keeps one key attached to a lease. A member is removed when its key
+// has been missing for a grace period. While the key-value service is unavailable
+// no member is removed, since a missing key can't be confirmed.
 type LeaseDetector struct {
 	clock   clock.Clock
 	options LeaseOptions
@@ -28,39 +29,43 @@
 	mutex    sync.Mutex
 	self     Member
 	stopped  bool
-	known    map[string]*knownMember
+	tracked  map[string]*trackedMember
 	onChange func([]Member)
-	// lastActivity is when this detector last ran; a gap means a pause.
+	// lastActivity is when this detector last received a reply or an event. A gap
+	// longer than the lease's time to live is taken for a pause of this process.
 	lastActivity time.Time
-	// lastTrouble is when contact to the service was last doubtful.
-	lastTrouble time.Time
-	troubled    bool
-	// interrupted since the newest reading: absence is not proved.
+	// lastDisruption is when the key-value service was last found unreachable or
+	// this process paused; disrupted: that has happened at least once.
+	lastDisruption time.Time
+	disrupted      bool
+	// interrupted: the watch was interrupted since the newest snapshot, so a
+	// missing key may have been written again.
 	interrupted bool
-	// readAt is when the members were last read.
+	// readAt is when the newest snapshot was received.
 	readAt time.Time
-	// synchronised: the members were read at least once.
+	// synchronised: the members have been read at least once.
 	synchronised bool
 
 	publisher publisher
 }
 
-// knownMember is a member as registered.
-type knownMember struct {
+// trackedMember is a registered member, or one whose key is missing and that has
+// not been removed yet.
+type trackedMember struct {
 	member      Member
 	modRevision int64
-	// missing since a time: the key is not there.
+	// missing: the key has been absent since missingSince.
 	missing      bool
 	missingSince time.Time
 }
 
-// NewLeaseDetector returns a detector that is not started. The source of
-// randomness is used by the detector alone.
+// NewLeaseDetector returns a detector that is not started. The random source must
+// not be shared.
 func NewLeaseDetector(service outside.KeyValueService, c clock.Clock, random *rand.Rand, options LeaseOptions, log zerolog.Logger) *LeaseDetector {
-	detector := &LeaseDetector{clock: c, options: options, log: log, known: map[string]*knownMember{}}
+	detector := &LeaseDetector{clock: c, options: options, log: log, tracked: map[string]*trackedMember{}}
 	watchRandom := rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
 	detector.watcher = keywatch.New(service, c, watchRandom, options.Watch, detector)
-	detector.lease = newLeaseHolder(service, c, random, options, log, detector.noteActivity)
+	detector.lease = newLeaseHolder(service, c, random, options, log, detector.recordActivity)
 	return detector
 }
 
@@ -94,18 +99,18 @@
 }
 
 // Snapshot implements keywatch.Handler.
-func (d *LeaseDetector) Snapshot(reading outside.RangeResult) {
+func (d *LeaseDetector) Snapshot(snapshot outside.RangeResult) {
 	d.mutex.Lock()
-	d.noteActivityLocked(true)
-	present := make(map[string]bool, len(reading.KeyValues))
-	for _, keyValue := range reading.KeyValues {
+	d.recordActivityLocked(true)
+	present := make(map[string]bool, len(snapshot.KeyValues))
+	for _, keyValue := range snapshot.KeyValues {
 		present[keyValue.Key] = true
-		d.presentLocked(keyValue)
+		d.observePresentLocked(keyValue)
 	}
 	for _, name := range d.namesLocked() {
-		known := d.known[name]
-		if !present[MemberPrefix+name] && known.modRevision <= reading.Revision {
-			d.missingLocked(name, reading.Revision)
+		tracked := d.tracked[name]
+		if !present[MemberPrefix+name] && tracked.modRevision <= snapshot.Revision {
+			d.observeMissingLocked(name, snapshot.Revision)
 		}
 	}
 	d.synchronised = true
@@ -118,12 +123,12 @@
 // Changes implements keywatch.Handler.
 func (d *LeaseDetector) Changes(events []outside.WatchEvent) {
 	d.mutex.Lock()
-	d.noteActivityLocked(true)
+	d.recordActivityLocked(true)
 	for _, event := range events {
 		if event.Deleted {
-			d.missingLocked(event.KeyValue.Key[len(MemberPrefix):], event.KeyValue.ModRevision)
+			d.observeMissingLocked(event.KeyValue.Key[len(MemberPrefix):], event.KeyValue.ModRevision)
 		} else {
-			d.presentLocked(event.KeyValue)
+			d.observePresentLocked(event.KeyValue)
 		}
 	}
 	d.mutex.Unlock()
@@ -135,113 +140,121 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.interrupted = true
-	d.noteActivityLocked(false)
+	d.recordActivityLocked(false)
 }
 
-// noteActivity is told by the lease whether the service answers.
-func (d *LeaseDetector) noteActivity(contact bool) {
+// recordActivity is called by the lease holder after each call, with whether the
+// service answered.
+func (d *LeaseDetector) recordActivity(contact bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.noteActivityLocked(contact)
+	d.recordActivityLocked(contact)
 }
 
-func (d *LeaseDetector) noteActivityLocked(contact bool) {
+// recordActivityLocked notes a disruption if the service was unreachable, or if
+// this process was paused since the previous call.
+func (d *LeaseDetector) recordActivityLocked(contact bool) {
 	now := d.clock.Now()
 	paused := now.Sub(d.lastActivity) > d.options.TimeToLive
 	d.lastActivity = now
 	if paused || !contact {
-		d.troubled = true
-		d.lastTrouble = now
+		d.disrupted = true
+		d.lastDisruption = now
 	}
 }
 
-func (d *LeaseDetector) presentLocked(keyValue outside.KeyValue) {
+// observePresentLocked tracks the member of a key that exists.
+func (d *LeaseDetector) observePresentLocked(keyValue outside.KeyValue) {
 	member, err := decodeMember(keyValue.Value)
 	if err != nil || MemberPrefix+member.Name != keyValue.Key {
-		d.log.Warn().Str("key", keyValue.Key).AnErr("cause", err).Msg("unreadable member record")
+		d.log.Warn().Str("key", keyValue.Key).AnErr("cause", err).Msg("cannot decode member record")
 		return
 	}
-	known := d.known[member.Name]
-	if known != nil && known.modRevision > keyValue.ModRevision {
+	tracked := d.tracked[member.Name]
+	if tracked != nil && tracked.modRevision > keyValue.ModRevision {
 		return
 	}
-	d.known[member.Name] = &knownMember{member: member, modRevision: keyValue.ModRevision}
+	d.tracked[member.Name] = &trackedMember{member: member, modRevision: keyValue.ModRevision}
 	if member.Name == d.self.Name {
-		d.lease.ownKeySeen(keyValue, member)
+		d.lease.observeOwnKey(keyValue, member)
 	}
 }
 
-func (d *LeaseDetector) missingLocked(name string, revision int64) {
+// observeMissingLocked handles a key that was absent at the revision: a draining
+// member is removed at once, any other after the grace period.
+func (d *LeaseDetector) observeMissingLocked(name string, revision int64) {
 	if name == d.self.Name {
-		d.lease.ownKeyMissing(revision)
+		d.lease.observeOwnKeyMissing(revision)
 	}
-	known := d.known[name]
-	if known == nil || known.missing {
+	tracked := d.tracked[name]
+	if tracked == nil || tracked.missing {
 		return
 	}
-	known.modRevision = max(known.modRevision, revision)
-	if known.member.Draining {
-		delete(d.known, name)
+	tracked.modRevision = max(tracked.modRevision, revision)
+	if tracked.member.Draining {
+		delete(d.tracked, name)
 		return
 	}
-	known.missing = true
-	known.missingSince = d.clock.Now()
+	tracked.missing = true
+	tracked.missingSince = d.clock.Now()
 	d.clock.AfterFunc(d.graceLocked(), func() { d.removeMissing(name) })
 }
 
-// graceLocked returns how long a member must have been missing.
+// graceLocked returns how long a member's key must have been missing before the
+// member is removed.
 func (d *LeaseDetector) graceLocked() time.Duration {
-	if d.troubled && d.clock.Now().Sub(d.lastTrouble) < d.options.OutageGrace {
+	if d.disrupted && d.clock.Now().Sub(d.lastDisruption) < d.options.OutageGrace {
 		return d.options.OutageGrace
 	}
 	return d.options.RemovalGrace
 }
 
-// remainingGraceLocked returns how much longer a member must be missing. While
-// the watch is interrupted, and shortly after a reading, which may be followed
-// by the next interruption, nobody's absence is proved.
-func (d *LeaseDetector) remainingGraceLocked(known *knownMember) time.Duration {
+// remainingGraceLocked returns how much longer a member's key must be missing.
+// While the watch is interrupted, and for RemovalGrace after a snapshot, since the
+// watch may be interrupted again, the absence of a key is not confirmed.
+func (d *LeaseDetector) remainingGraceLocked(tracked *trackedMember) time.Duration {
 	now := d.clock.Now()
-	remaining := d.graceLocked() - now.Sub(known.missingSince)
+	remaining := d.graceLocked() - now.Sub(tracked.missingSince)
 	if d.interrupted {
 		return max(remaining, d.options.RemovalGrace)
 	}
 	return max(remaining, d.options.RemovalGrace-now.Sub(d.readAt))
 }
 
-// removeMissing removes a member whose key has been missing for the grace
-// period that applies now; else it looks again later.
+// removeMissing removes a member whose key has been missing for the grace period
+// that applies now. If it has not, it checks again after the remaining time.
 func (d *LeaseDetector) removeMissing(name string) {
 	d.mutex.Lock()
-	known := d.known[name]
-	if d.stopped || known == nil || !known.missing {
+	tracked := d.tracked[name]
+	if d.stopped || tracked == nil || !tracked.missing {
 		d.mutex.Unlock()
 		return
 	}
-	remaining := d.remainingGraceLocked(known)
+	remaining := d.remainingGraceLocked(tracked)
 	if remaining > 0 {
 		d.clock.AfterFunc(remaining, func() { d.removeMissing(name) })
 		d.mutex.Unlock()
 		return
 	}
-	delete(d.known, name)
+	delete(d.tracked, name)
 	d.mutex.Unlock()
-	d.log.Info().Str("member", known.member.ID()).Str("reason", "lease lapsed").Msg("member removed")
+	d.log.Info().Str("member", tracked.member.ID()).Str("reason", "lease lapsed").Msg("member removed")
 	d.publish()
 }
 
+// namesLocked returns the names of the tracked members in order.
 func (d *LeaseDetector) namesLocked() []string {
-	names := make([]string, 0, len(d.known))
-	for name := range d.known {
+	names := make([]string, 0, len(d.tracked))
+	for name := range d.tracked {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	return names
 }
 
-// publish tells the live members once this node has read them and is itself
-// registered. It is then always one of them, unless a later incarnation of it
-// has registered.
+// publish passes the live members to onChange, once this node has read them and
+// has been registered. This node is then always one of them, unless a later
+// incarnation of it has registered.
 func (d *LeaseDetector) publish() {
 	d.mutex.Lock()
 	onChange := d.onChange
@@ -255,9 +268,9 @@
 	if d.stopped || !d.synchronised || !d.lease.wasRegistered() {
 		return nil, false
 	}
-	members := make([]Member, 0, len(d.known)+1)
-	for _, known := range d.known {
-		members = append(members, known.member)
+	members := make([]Member, 0, len(d.tracked)+1)
+	for _, tracked := range d.tracked {
+		members = append(members, tracked.member)
 	}
 	return d.withSelfLocked(members), true
 }
--- a/internal/membership/lease_holder.go
+++ b/internal/membership/lease_holder.go
@@ -12,43 +12,47 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// leaseHolder keeps this node's own record registered under a lease.
+// leaseHolder keeps this node's own record registered, attached to a lease.
 //
-// A first registration replaces the record of an earlier incarnation. A node
-// that was registered before and finds another incarnation in its place was
-// superseded, and stays away.
+// The first registration replaces the record of an earlier incarnation. If a node
+// has been registered and then finds the record of another incarnation, it was
+// superseded and does not register again.
 type leaseHolder struct {
 	service outside.KeyValueService
 	clock   clock.Clock
 	options LeaseOptions
 	log     zerolog.Logger
-	// contact is told, without the lock held, whether the service answered.
-	contact func(answered bool)
+	// reportReachable is called after each call to the service, without the lock
+	// held, with whether the service answered.
+	reportReachable func(answered bool)
 
 	mutex  sync.Mutex
 	random *rand.Rand
 	self   Member
 	lease  outside.LeaseID
-	// writtenLease and writtenSelf are what the record holds, as far as known.
-	writtenLease outside.LeaseID
-	writtenSelf  Member
-	modRevision  int64
-	busy         bool
-	// everRegistered: the record was ours at least once.
+	// recordedLease and recordedSelf are what the record holds, as last observed or
+	// written; recordedLease is 0 if the record has to be written. modRevision is
+	// the record's revision; 0: no record.
+	recordedLease outside.LeaseID
+	recordedSelf  Member
+	modRevision   int64
+	// busy: a grant or a write is in flight, or the pause before the next one.
+	busy bool
+	// everRegistered: the record has named this incarnation at least once.
 	everRegistered bool
 	superseded     bool
 	stopped        bool
 	retry          backoff
 	keepAliveRetry backoff
-	// keptAliveAt is when the lease was last granted or extended.
-	keptAliveAt    time.Time
+	// extendedAt is when the lease was last granted or extended.
+	extendedAt     time.Time
 	timer          clock.Timer
 	keepAliveTimer clock.Timer
 }
 
-func newLeaseHolder(service outside.KeyValueService, c clock.Clock, random *rand.Rand, options LeaseOptions, log zerolog.Logger, contact func(bool)) *leaseHolder {
+func newLeaseHolder(service outside.KeyValueService, c clock.Clock, random *rand.Rand, options LeaseOptions, log zerolog.Logger, reportReachable func(bool)) *leaseHolder {
 	return &leaseHolder{
-		service: service, clock: c, random: random, options: options, log: log, contact: contact,
+		service: service, clock: c, random: random, options: options, log: log, reportReachable: reportReachable,
 		retry:          backoff{minimum: options.MinBackoff, maximum: options.MaxBackoff},
 		keepAliveRetry: backoff{minimum: options.KeepAliveInterval / 2, maximum: 2 * options.KeepAliveInterval},
 	}
@@ -58,7 +62,7 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.self = self
-	h.convergeLocked()
+	h.reconcileLocked()
 	h.scheduleKeepAliveLocked()
 }
 
@@ -66,10 +70,11 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.self = self
-	h.convergeLocked()
+	h.reconcileLocked()
 }
 
-// stop revokes the lease, which deletes the record.
+// stop revokes the lease, which deletes the record. done is called afterwards,
+// also after a failure.
 func (h *leaseHolder) stop(done func()) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -98,53 +103,53 @@
 	return h.everRegistered
 }
 
-// ownKeySeen is told of the own record as read from the service.
-func (h *leaseHolder) ownKeySeen(keyValue outside.KeyValue, member Member) {
+// observeOwnKey is called with the own record as read from the service.
+func (h *leaseHolder) observeOwnKey(keyValue outside.KeyValue, member Member) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if keyValue.ModRevision <= h.modRevision {
 		return
 	}
-	h.foundLocked(keyValue, member)
-	h.convergeLocked()
+	h.observeRecordLocked(keyValue, member)
+	h.reconcileLocked()
 }
 
-// ownKeyMissing is told that the own record was missing at a revision.
-func (h *leaseHolder) ownKeyMissing(revision int64) {
+// observeOwnKeyMissing is called when the own record was absent at a revision.
+func (h *leaseHolder) observeOwnKeyMissing(revision int64) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if revision < h.modRevision || h.writtenLease == 0 {
+	if revision < h.modRevision || h.recordedLease == 0 {
 		return
 	}
 	h.modRevision = 0
-	h.writtenLease = 0
-	h.convergeLocked()
+	h.recordedLease = 0
+	h.reconcileLocked()
 }
 
-// foundLocked takes notice of the record that stands in the service.
-func (h *leaseHolder) foundLocked(keyValue outside.KeyValue, member Member) {
+// observeRecordLocked updates the state from the record in the service.
+func (h *leaseHolder) observeRecordLocked(keyValue outside.KeyValue, member Member) {
 	h.modRevision = keyValue.ModRevision
 	if member.Incarnation == h.self.Incarnation {
 		h.everRegistered = true
-		h.writtenSelf = member
-		h.writtenLease = keyValue.Lease
+		h.recordedSelf = member
+		h.recordedLease = keyValue.Lease
 		return
 	}
-	h.writtenLease = 0
+	h.recordedLease = 0
 	if h.everRegistered && !h.superseded {
 		h.superseded = true
 		h.log.Error().Str("member", h.self.ID()).Str("by", member.ID()).Msg("another incarnation took this node's place")
 	}
 }
 
-// convergeLocked makes the record in the service equal to what it should be,
-// one call at a time.
-func (h *leaseHolder) convergeLocked() {
+// reconcileLocked grants a lease if there is none, and writes the record if it
+// differs from the desired one; one call at a time.
+func (h *leaseHolder) reconcileLocked() {
 	switch {
 	case h.busy || h.stopped || h.superseded:
 	case h.lease == 0:
 		h.grantLocked()
-	case h.writtenLease != h.lease || h.writtenSelf != h.self:
+	case h.recordedLease != h.lease || h.recordedSelf != h.self:
 		h.writeLocked()
 	}
 }
@@ -152,9 +157,9 @@
 func (h *leaseHolder) grantLocked() {
 	h.busy = true
 	h.service.GrantLease(h.options.TimeToLive, h.options.Timeout, func(lease outside.LeaseID, err error) {
-		h.finish(err, func() {
+		h.completeCall(err, func() {
 			h.lease = lease
-			h.keptAliveAt = h.clock.Now()
+			h.extendedAt = h.clock.Now()
 		})
 	})
 }
@@ -168,50 +173,52 @@
 		Operations: []outside.Operation{{Key: key, Value: encodeMember(self), Lease: lease}},
 	}
 	h.service.Transact(transaction, h.options.Timeout, func(result outside.TransactionResult, err error) {
-		h.finish(err, func() { h.writtenLocked(self, lease, result) })
+		h.completeCall(err, func() { h.applyWriteResultLocked(self, lease, result) })
 	})
 }
 
-// writtenLocked handles the reply to a write. A write whose reply was lost is
-// repeated; the failed comparison then shows the record that stands.
-func (h *leaseHolder) writtenLocked(self Member, lease outside.LeaseID, result outside.TransactionResult) {
+// applyWriteResultLocked applies the reply to a write. A write whose reply was
+// lost is repeated; its compare then fails and the reply contains the record that
+// exists.
+func (h *leaseHolder) applyWriteResultLocked(self Member, lease outside.LeaseID, result outside.TransactionResult) {
 	if result.Succeeded {
 		h.modRevision = max(h.modRevision, result.Revision)
-		h.writtenSelf, h.writtenLease = self, lease
+		h.recordedSelf, h.recordedLease = self, lease
 		h.everRegistered = true
 		return
 	}
 	if len(result.Current) == 0 {
 		h.modRevision = 0
-		h.writtenLease = 0
+		h.recordedLease = 0
 		return
 	}
 	member, err := decodeMember(result.Current[0].Value)
 	if err != nil {
 		member = Member{}
 	}
-	h.foundLocked(result.Current[0], member)
+	h.observeRecordLocked(result.Current[0], member)
 }
 
-// finish ends a call: on success it goes on at once, else after a pause.
-func (h *leaseHolder) finish(err error, onSuccess func()) {
-	h.contact(err == nil || errors.Is(err, outside.ErrLeaseGone))
+// completeCall ends a grant or a write. After a success the next call is made at
+// once, after an error following a backoff.
+func (h *leaseHolder) completeCall(err error, onSuccess func()) {
+	h.reportReachable(err == nil || errors.Is(err, outside.ErrLeaseGone))
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.busy = false
 	if err == nil {
 		h.retry.reset()
 		onSuccess()
-		h.convergeLocked()
+		h.reconcileLocked()
 		return
 	}
 	if errors.Is(err, outside.ErrLeaseGone) {
 		h.lease = 0
 	}
-	h.convergeLaterLocked()
+	h.reconcileLaterLocked()
 }
 
-func (h *leaseHolder) convergeLaterLocked() {
+func (h *leaseHolder) reconcileLaterLocked() {
 	if h.stopped {
 		return
 	}
@@ -220,7 +227,7 @@
 		h.mutex.Lock()
 		defer h.mutex.Unlock()
 		h.busy = false
-		h.convergeLocked()
+		h.reconcileLocked()
 	})
 }
 
@@ -239,37 +246,37 @@
 		return
 	}
 	lease := h.lease
-	h.service.KeepAlive(lease, h.options.Timeout, func(err error) { h.keptAlive(lease, err) })
+	h.service.KeepAlive(lease, h.options.Timeout, func(err error) { h.handleKeepAliveReply(lease, err) })
 }
 
 // keepAliveRetryPauseLocked returns a short pause while the lease may still be
-// saved, and growing ones after that.
+// extended, and growing ones once its time to live is over.
 func (h *leaseHolder) keepAliveRetryPauseLocked() time.Duration {
-	if h.clock.Now().Sub(h.keptAliveAt) < h.options.TimeToLive {
+	if h.clock.Now().Sub(h.extendedAt) < h.options.TimeToLive {
 		return jittered(h.random, h.options.KeepAliveInterval/3)
 	}
 	return h.keepAliveRetry.next(h.random)
 }
 
-func (h *leaseHolder) keptAlive(lease outside.LeaseID, err error) {
-	gone := errors.Is(err, outside.ErrLeaseGone)
-	h.contact(err == nil || gone)
+func (h *leaseHolder) handleKeepAliveReply(lease outside.LeaseID, err error) {
+	expired := errors.Is(err, outside.ErrLeaseGone)
+	h.reportReachable(err == nil || expired)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.stopped {
 		return
 	}
-	if gone && h.lease == lease {
+	if expired && h.lease == lease {
 		h.lease = 0
 		if !h.busy {
-			h.convergeLaterLocked()
+			h.reconcileLaterLocked()
 		}
 	}
-	if err != nil && !gone {
+	if err != nil && !expired {
 		h.keepAliveTimer = h.clock.AfterFunc(h.keepAliveRetryPauseLocked(), h.keepAlive)
 		return
 	}
-	h.keptAliveAt = h.clock.Now()
+	h.extendedAt = h.clock.Now()
 	h.keepAliveRetry.reset()
 	h.scheduleKeepAliveLocked()
 }
--- a/internal/membership/lease_options.go
+++ b/internal/membership/lease_options.go
@@ -7,31 +7,34 @@
 	"github.com/hatchplank/hatchplank/internal/membership/keywatch"
 )
 
-// MemberPrefix is where members are registered in the key-value service.
+// MemberPrefix is the key prefix of the records of a LeaseDetector in the
+// key-value service.
 const MemberPrefix = "members/"
 
-// LeaseOptions of a LeaseDetector.
+// LeaseOptions configure a LeaseDetector.
 type LeaseOptions struct {
-	// TimeToLive of the lease.
+	// TimeToLive is the lease's time to live.
 	TimeToLive time.Duration
 	// KeepAliveInterval is the mean time between two extensions of the lease.
 	KeepAliveInterval time.Duration
-	// Timeout of one call to the key-value service.
+	// Timeout limits one call to the key-value service.
 	Timeout time.Duration
 	// MinBackoff and MaxBackoff bound the pause before a failed call is
 	// repeated.
 	MinBackoff, MaxBackoff time.Duration
-	// RemovalGrace is how long a member's key must be missing before the
-	// member is taken for dead.
+	// RemovalGrace is how long a member's key must be missing before the member
+	// is removed.
 	RemovalGrace time.Duration
-	// OutageGrace replaces RemovalGrace for that long after this node was
-	// paused or lost contact to the key-value service: the others may have
-	// lost it too and need time to register again.
+	// OutageGrace replaces RemovalGrace for a time equal to itself after this
+	// process was paused or could not reach the key-value service: the other
+	// members may have been unable to reach it too, and need time to register
+	// again.
 	OutageGrace time.Duration
-	Watch       keywatch.Options
+	// Watch configures the watch of the records.
+	Watch keywatch.Options
 }
 
-// DefaultLeaseOptions returns the options used in a node.
+// DefaultLeaseOptions returns the options used in production.
 func DefaultLeaseOptions() LeaseOptions {
 	const timeToLive = 10 * time.Second
 	return LeaseOptions{
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -25,13 +25,13 @@
 		c.expectMembers("a", "b", "c")
 	})
 
-	It("removes a killed member after its lease", func() {
+	It("removes a killed member after its lease expired", func() {
 		c.nodes["b"].process.Kill()
 		c.loop.RunFor(15 * time.Second)
 		c.expectMembers("a", "c")
 	})
 
-	It("keeps everybody over an outage, in which all leases lapse", func() {
+	It("keeps all members during an outage in which all leases expire", func() {
 		c.store.SetFaults(keyvalue.Faults{Outage: true})
 		c.loop.RunFor(5 * time.Minute)
 		c.expectMembers("a", "b", "c")
@@ -42,7 +42,7 @@
 		}
 	})
 
-	It("waits after an outage for a member that is late to register again", func() {
+	It("waits after an outage for a member that registers again late", func() {
 		c.store.SetFaults(keyvalue.Faults{Outage: true})
 		c.loop.RunFor(5 * time.Minute)
 		c.network.Cut = func(from, to string) bool { return from == "c" || to == "c" }
@@ -54,7 +54,7 @@
 		c.expectMembers("a", "b", "c")
 	})
 
-	It("costs little more than the keep-alives", func() {
+	It("makes few calls besides the keep-alives", func() {
 		before := c.store.Counters().Total()
 		c.loop.RunFor(20 * time.Minute)
 		perNodeAndSecond := float64(c.store.Counters().Total()-before) / (20 * 60 * 3)
@@ -71,7 +71,7 @@
 		c.expectMembers("a", "b", "c")
 	})
 
-	It("lets a restarted node replace its former incarnation, for good", func() {
+	It("lets a restarted node replace its former incarnation permanently", func() {
 		paused := c.nodes["b"].process
 		paused.Pause()
 		delete(c.nodes, "b")
@@ -87,7 +87,7 @@
 		c.expectMembers("a", "b", "c")
 	})
 
-	It("removes a stopped member at once when it drained before", func() {
+	It("removes a stopped member at once if it was drained before", func() {
 		c.nodes["b"].registry.SetDraining(true)
 		c.loop.RunFor(5 * time.Second)
 		c.nodes["b"].registry.Stop(func() {})
@@ -97,12 +97,12 @@
 	})
 })
 
-var _ = Describe("Owners with leases", func() { describeOwners(false) })
+var _ = Describe("OwnershipManager with leases", func() { describeOwnershipManager(false) })
 
-var _ = Describe("Owners with heartbeats", func() { describeOwners(true) })
+var _ = Describe("OwnershipManager with heartbeats", func() { describeOwnershipManager(true) })
 
-// describeOwners holds for either detector.
-func describeOwners(heartbeat bool) {
+// describeOwnershipManager defines the tests that hold with either detector.
+func describeOwnershipManager(heartbeat bool) {
 	var c *cluster
 	BeforeEach(func() {
 		c = newCluster(1, 12)
@@ -111,16 +111,16 @@
 			c.start(name)
 		}
 		c.loop.RunFor(2 * time.Minute)
-		c.expectOneOwnerEach()
+		c.expectOneOwnerPerCell()
 	})
 
-	DescribeTable("find one owner for each cell again after",
+	DescribeTable("finds one owner for each cell again after",
 		func(fault, repair func(), settle time.Duration) {
 			fault()
 			c.loop.RunFor(time.Minute)
 			repair()
 			c.loop.RunFor(settle)
-			c.expectOneOwnerEach()
+			c.expectOneOwnerPerCell()
 		},
 		Entry("a killed node", func() { c.nodes["a"].process.Kill() }, func() {}, time.Minute),
 		Entry("a restarted node", func() { c.start("a") }, func() {}, time.Minute),
@@ -128,18 +128,18 @@
 		Entry("a node added", func() { c.start("e") }, func() {}, time.Minute),
 		Entry("a pause longer than the lease", func() { c.nodes["a"].process.Pause() }, func() { c.nodes["a"].process.Resume() }, 2*time.Minute),
 		Entry("an outage", func() { c.store.SetFaults(keyvalue.Faults{Outage: true}) }, func() { c.store.SetFaults(keyvalue.Faults{}) }, 2*time.Minute),
-		Entry("a death in an outage", func() {
+		Entry("a crash during an outage", func() {
 			c.store.SetFaults(keyvalue.Faults{Outage: true})
 			c.nodes["a"].process.Kill()
 		}, func() { c.store.SetFaults(keyvalue.Faults{}) }, 2*time.Minute),
-		Entry("a death with lost replies", func() {
+		Entry("a crash while replies are lost", func() {
 			c.store.SetFaults(keyvalue.Faults{LostReplies: 0.7})
 			c.nodes["a"].process.Kill()
 		}, func() { c.store.SetFaults(keyvalue.Faults{}) }, 2*time.Minute),
 		Entry("a drained node", func() { c.nodes["a"].registry.SetDraining(true) }, func() {}, time.Minute),
 	)
 
-	It("keep their cells over an outage", func() {
+	It("keeps the owners of cells during an outage", func() {
 		before := map[string]uint64{}
 		for _, cell := range c.cells {
 			before[cell] = c.nodes[c.ownersOf(cell)[0]].owned[cell]
@@ -149,11 +149,11 @@
 		c.store.SetFaults(keyvalue.Faults{})
 		c.loop.RunFor(2 * time.Minute)
 		for _, cell := range c.cells {
-			Expect(c.nodes[c.ownersOf(cell)[0]].owned[cell]).To(Equal(before[cell]), "no change of epoch")
+			Expect(c.nodes[c.ownersOf(cell)[0]].owned[cell]).To(Equal(before[cell]), "epoch unchanged")
 		}
 	})
 
-	It("do not release a cell while the service is out", func() {
+	It("does not release a cell while the service is unavailable", func() {
 		c.store.SetFaults(keyvalue.Faults{Outage: true})
 		owned := len(c.nodes["a"].owned)
 		Expect(owned).To(BeNumerically(">", 0))
@@ -163,16 +163,16 @@
 		c.store.SetFaults(keyvalue.Faults{})
 		c.loop.RunFor(time.Minute)
 		Expect(c.nodes["a"].owners.Owned()).To(BeEmpty())
-		c.expectOneOwnerEach()
+		c.expectOneOwnerPerCell()
 	})
 
-	It("raise the epoch with every owner, and settle, whatever fails", func() {
+	It("increments the epoch with every owner, and converges after any faults", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) { checkOwnersUnderFaults(t, heartbeat) })
 	})
 }
 
-// checkOwnersUnderFaults draws faults, judges ownership by the service's own
-// records, and expects the cluster to settle afterwards.
+// checkOwnersUnderFaults injects random faults, checks ownership by the records in
+// the key-value service, and expects the cluster to converge afterwards.
 func checkOwnersUnderFaults(t *rapid.T, heartbeat bool) {
 	c := newCluster(rapid.Uint64().Draw(t, "seed"), 6)
 	c.heartbeat = heartbeat
@@ -212,8 +212,8 @@
 		}
 	}
 	for _, n := range c.nodes {
-		if len(n.faults) > 0 {
-			t.Fatalf("%s: %v", n.process.Name, n.faults)
+		if len(n.violations) > 0 {
+			t.Fatalf("%s: %v", n.process.Name, n.violations)
 		}
 	}
 }
@@ -237,7 +237,7 @@
 			before := last[event.KeyValue.Key]
 			vacated := current.Vacant && current.Epoch == before.Epoch && current.Member == before.Member
 			if current.Epoch <= before.Epoch && !vacated {
-				t.Fatal(fmt.Sprintf("%s: %+v follows %+v", event.KeyValue.Key, current, before))
+				t.Fatal(fmt.Sprintf("%s: record %+v was written after %+v", event.KeyValue.Key, current, before))
 			}
 			last[event.KeyValue.Key] = current
 		}
--- a/internal/membership/meter.go
+++ b/internal/membership/meter.go
@@ -17,17 +17,18 @@
 	return c.Transactions + c.Ranges + c.LeaseGrants + c.KeepAlives + c.LeaseRevokes + c.Watches
 }
 
-// Meter passes calls on to a key-value service and counts them.
+// Meter is a key-value service that counts the calls and forwards them to another
+// one.
 type Meter struct {
 	service outside.KeyValueService
 
 	transactions, ranges, leaseGrants, keepAlives, leaseRevokes, watches atomic.Uint64
 }
 
-// NewMeter returns a meter in front of the service.
+// NewMeter returns a meter that forwards to the service.
 func NewMeter(service outside.KeyValueService) *Meter { return &Meter{service: service} }
 
-// Counts returns the calls so far.
+// Counts returns the number of calls so far.
 func (m *Meter) Counts() OperationCounts {
 	return OperationCounts{
 		Transactions: m.transactions.Load(),
--- a/internal/membership/owner_options.go
+++ b/internal/membership/owner_options.go
@@ -7,44 +7,46 @@
 	"github.com/hatchplank/hatchplank/internal/membership/keywatch"
 )
 
-// CellPrefix is where ownership is recorded in the key-value service.
+// CellPrefix is the key prefix of ownership records in the key-value service.
 const CellPrefix = "cells/"
 
-// OwnershipOptions of Owners.
+// OwnershipOptions configure an OwnershipManager.
 type OwnershipOptions struct {
-	// OwnerGrace is how long an owner must be seen missing, after the
-	// Registry removed it, before its cell is taken over.
+	// OwnerGrace is how long an owner must have been absent from the live members
+	// before its cell is taken over.
 	OwnerGrace time.Duration
-	// UnseenOwnerGrace replaces OwnerGrace for an owner that this node never
-	// saw alive.
+	// UnseenOwnerGrace replaces OwnerGrace for an owner that has never been among
+	// this node's live members.
 	UnseenOwnerGrace time.Duration
-	// HandoverDelay is how long another member must have been the one that
-	// should own a cell before the owner hands it over. A draining owner does
-	// not wait.
+	// HandoverDelay is how long another member must have had the highest
+	// rendezvous score for a cell before the owner hands the cell over. A draining
+	// owner does not wait.
 	HandoverDelay time.Duration
-	// TickEvery is the period of Tick when Start drives it.
-	TickEvery time.Duration
-	// Timeout of one call to the key-value service.
+	// TickInterval is the interval at which Start calls Tick.
+	TickInterval time.Duration
+	// Timeout limits one call to the key-value service.
 	Timeout time.Duration
-	// MinBackoff and MaxBackoff bound the pause before a failed write is
-	// tried or read back again.
+	// MinBackoff and MaxBackoff bound the pause before a failed write or
+	// read-back is repeated.
 	MinBackoff, MaxBackoff time.Duration
-	// MaxInFlight bounds the writes and read-backs under way at once.
+	// MaxInFlight is the maximum number of concurrent writes and read-backs.
 	MaxInFlight int
-	// Eligible tells whether a member may own a cell; nil: all may.
+	// Eligible reports whether a member may own a cell. If it is nil, all members
+	// may.
 	Eligible func(cell string, member Member) bool
-	Watch    keywatch.Options
+	// Watch configures the watch of the ownership records.
+	Watch keywatch.Options
 }
 
-// DefaultOwnershipOptions returns the options used in a node.
+// DefaultOwnershipOptions returns the options used in production.
 func DefaultOwnershipOptions() OwnershipOptions {
 	watch := keywatch.DefaultOptions(CellPrefix)
-	watch.RecoverySpread = 5 * time.Second
+	watch.RecoveryJitter = 5 * time.Second
 	return OwnershipOptions{
 		OwnerGrace:       time.Second,
 		UnseenOwnerGrace: 30 * time.Second,
 		HandoverDelay:    30 * time.Second,
-		TickEvery:        500 * time.Millisecond,
+		TickInterval:     500 * time.Millisecond,
 		Timeout:          2 * time.Second,
 		MinBackoff:       300 * time.Millisecond,
 		MaxBackoff:       10 * time.Second,
@@ -53,13 +55,13 @@
 	}
 }
 
-// ownerRecord is the value of a cell's key.
+// ownerRecord is the value of a cell's key, encoded as JSON.
 type ownerRecord struct {
 	Epoch  uint64
 	Member Member
 	Vacant bool
-	// Token is unique to the write, so that a write whose reply was lost is
-	// recognised when it is read back.
+	// Token is unique to each write, so that a write whose reply was lost is
+	// recognised when the record is read back.
 	Token string
 }
 
--- a/internal/membership/owners.go
+++ b/internal/membership/owners.go
@@ -14,13 +14,13 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// OwnershipManager takes, keeps and hands over the ownership of cells, and knows the
-// owners of all; it implements Ownership.
+// OwnershipManager acquires, holds and hands over the ownership of cells, and
+// tracks the owners of all cells; it implements Ownership.
 //
-// Every change of owner is a compare-and-swap that raises the cell's epoch. An
-// owner that can't reach the key-value service goes on, because nobody can
-// replace it without that service either; an owner that sees a higher epoch
-// steps down at once.
+// Every change of owner is a compare-and-swap that increments the cell's epoch. An
+// owner that can't reach the key-value service remains the owner, because no other
+// node can replace it without that service either. An owner that observes a higher
+// epoch steps down at once.
 type OwnershipManager struct {
 	service outside.KeyValueService
 	clock   clock.Clock
@@ -32,22 +32,24 @@
 	mutex      sync.Mutex
 	random     *rand.Rand
 	self       Member
-	live       map[string]string // incarnation by name
+	live       map[string]string // incarnations of the live members by name
 	candidates candidates
 	cells      []*cellState
 	byName     map[string]*cellState
-	// synchronised: the records were read at least once.
+	// synchronised: the records have been read at least once.
 	synchronised bool
-	tokens       uint64
-	inFlight     int
-	stopped      bool
-	stopTicks    func()
+	// tokenSequence numbers the tokens of this node's writes.
+	tokenSequence uint64
+	// inFlight counts the calls in flight; see MaxInFlight.
+	inFlight  int
+	stopped   bool
+	stopTicks func()
 }
 
-// NewOwnershipManager returns the ownership of the named cells, not started. The
-// source of randomness is used by the ownership alone.
+// NewOwnershipManager returns a manager of the named cells that is not started.
+// The random source must not be shared.
 func NewOwnershipManager(self Member, cells []string, service outside.KeyValueService, c clock.Clock, random *rand.Rand, runner CellRunner, options OwnershipOptions, log zerolog.Logger) *OwnershipManager {
-	owners := &OwnershipManager{
+	manager := &OwnershipManager{
 		service: service, clock: c, options: options, log: log, random: random,
 		calls:      &runnerCalls{runner: runner},
 		self:       self,
@@ -60,22 +62,22 @@
 			name: name, key: CellPrefix + name, hash: rendezvousHash(name),
 			retry: backoff{minimum: options.MinBackoff, maximum: options.MaxBackoff},
 		}
-		owners.cells = append(owners.cells, cell)
-		owners.byName[name] = cell
+		manager.cells = append(manager.cells, cell)
+		manager.byName[name] = cell
 	}
-	sort.Slice(owners.cells, func(i, j int) bool { return owners.cells[i].name < owners.cells[j].name })
+	sort.Slice(manager.cells, func(i, j int) bool { return manager.cells[i].name < manager.cells[j].name })
 	watchRandom := rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
-	owners.watcher = keywatch.New(service, c, watchRandom, options.Watch, owners)
-	return owners
+	manager.watcher = keywatch.New(service, c, watchRandom, options.Watch, manager)
+	return manager
 }
 
-// Start reads the records and begins to tick.
+// Start begins to watch the records and to call Tick periodically.
 func (o *OwnershipManager) Start() {
 	o.watcher.Start()
-	o.stopTicks = clock.Repeat(o.clock, o.options.TickEvery, func() { o.Tick(o.clock.Now()) })
+	o.stopTicks = clock.Repeat(o.clock, o.options.TickInterval, func() { o.Tick(o.clock.Now()) })
 }
 
-// Stop ends all work without giving cells away; drain before.
+// Stop ends all work without handing cells over. The node should be drained first.
 func (o *OwnershipManager) Stop() {
 	o.mutex.Lock()
 	o.stopped = true
@@ -98,8 +100,8 @@
 	return Owner{Cell: cell, Epoch: record.Epoch, Member: record.Member, Vacant: record.Vacant}, true
 }
 
-// Owned returns the names of the cells this node owns or is handing over, in
-// order. A drained node may stop when there are none.
+// Owned returns the names, in order, of the cells that this node owns or is
+// handing over. A draining node may stop when there are none.
 func (o *OwnershipManager) Owned() []string {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -112,7 +114,7 @@
 	return names
 }
 
-// SetMembers takes the live members; subscribe it to the Registry.
+// SetMembers updates the live members. It is meant to be subscribed to a Registry.
 func (o *OwnershipManager) SetMembers(members []Member) {
 	o.mutex.Lock()
 	clear(o.live)
@@ -131,6 +133,7 @@
 	o.Tick(o.clock.Now())
 }
 
+// eligible returns a function that reports whether a member may own the cell.
 func (o *OwnershipManager) eligible(cell string) func(Member) bool {
 	if o.options.Eligible == nil {
 		return func(Member) bool { return true }
@@ -138,7 +141,7 @@
 	return func(member Member) bool { return o.options.Eligible(cell, member) }
 }
 
-// Tick does what is due for each cell.
+// Tick starts what is due for each cell: a retry, an acquisition or a handover.
 func (o *OwnershipManager) Tick(now time.Time) {
 	o.mutex.Lock()
 	if o.synchronised && !o.stopped {
@@ -161,11 +164,13 @@
 		}
 	case cell.role == roleOwner:
 		if o.shouldHandOverLocked(cell, now) {
-			o.probeLocked(cell)
+			o.verifyOwnershipLocked(cell)
 		}
 	}
 }
 
+// selfWinsLocked reports whether this node has the highest rendezvous score for the
+// cell.
 func (o *OwnershipManager) selfWinsLocked(cell *cellState) bool {
 	return cell.winner.candidate != nil && cell.winner.candidate.member.ID() == o.self.ID()
 }
@@ -174,9 +179,9 @@
 	return o.live[member.Name] == member.Incarnation && member.Incarnation != ""
 }
 
-// ownerGraceLocked returns how long the owner must be seen missing. An owner
-// that this node never saw alive may only be late in registering again after
-// an outage of the key-value service.
+// ownerGraceLocked returns how long the owner must have been absent from the live
+// members before the cell is taken over. An owner that has never been among them
+// may only be late to register again after an outage of the key-value service.
 func (o *OwnershipManager) ownerGraceLocked(cell *cellState) time.Duration {
 	_, nameTaken := o.live[cell.record.Member.Name]
 	if cell.ownerSeen || nameTaken {
@@ -185,7 +190,8 @@
 	return o.options.UnseenOwnerGrace
 }
 
-// mayAcquireLocked: this node should own the cell, and its owner is gone.
+// mayAcquireLocked reports whether this node should own the cell, and the cell has
+// no owner or the owner has been absent for the grace period.
 func (o *OwnershipManager) mayAcquireLocked(cell *cellState, now time.Time) bool {
 	if !o.selfWinsLocked(cell) {
 		cell.ownerMissingSince = time.Time{}
@@ -205,8 +211,8 @@
 	return now.Sub(cell.ownerMissingSince) >= o.ownerGraceLocked(cell)
 }
 
-// shouldHandOverLocked: another member has long been the one to own the cell,
-// or this node drains.
+// shouldHandOverLocked reports whether this node is draining, or another member has
+// had the highest rendezvous score for the cell for HandoverDelay.
 func (o *OwnershipManager) shouldHandOverLocked(cell *cellState, now time.Time) bool {
 	if o.self.Draining {
 		return true
@@ -222,15 +228,15 @@
 }
 
 // Snapshot implements keywatch.Handler.
-func (o *OwnershipManager) Snapshot(reading outside.RangeResult) {
+func (o *OwnershipManager) Snapshot(snapshot outside.RangeResult) {
 	o.mutex.Lock()
-	present := make(map[string]bool, len(reading.KeyValues))
-	for _, keyValue := range reading.KeyValues {
+	present := make(map[string]bool, len(snapshot.KeyValues))
+	for _, keyValue := range snapshot.KeyValues {
 		present[keyValue.Key] = true
 		o.observeLocked(keyValue)
 	}
 	for _, cell := range o.cells {
-		if !present[cell.key] && cell.modRevision <= reading.Revision {
+		if !present[cell.key] && cell.modRevision <= snapshot.Revision {
 			cell.modRevision = 0
 		}
 	}
@@ -251,10 +257,12 @@
 	o.Tick(o.clock.Now())
 }
 
-// Interrupted implements keywatch.Handler; ownership goes on.
+// Interrupted implements keywatch.Handler. It does nothing: ownership continues
+// while the watch is interrupted.
 func (o *OwnershipManager) Interrupted(error) {}
 
-// observeLocked takes notice of a record read from the service.
+// observeLocked applies a record read from the service, if it is newer than the
+// last observed one.
 func (o *OwnershipManager) observeLocked(keyValue outside.KeyValue) {
 	cell := o.byName[strings.TrimPrefix(keyValue.Key, CellPrefix)]
 	if cell == nil || keyValue.ModRevision <= cell.modRevision {
@@ -262,7 +270,7 @@
 	}
 	record, err := decodeOwnerRecord(keyValue.Value)
 	if err != nil {
-		o.log.Error().Str("key", keyValue.Key).Err(err).Msg("unreadable ownership record")
+		o.log.Error().Str("key", keyValue.Key).Err(err).Msg("cannot decode ownership record")
 		return
 	}
 	cell.modRevision = keyValue.ModRevision
@@ -273,22 +281,22 @@
 	cell.record = record
 	cell.ownerSeen = o.isLiveLocked(record.Member)
 	cell.ownerMissingSince = time.Time{}
-	o.settleLocked(cell)
+	o.applyRecordLocked(cell)
 }
 
-// settleLocked draws the consequences of a new record.
-func (o *OwnershipManager) settleLocked(cell *cellState) {
-	applied := cell.applied()
-	if applied || cell.failed() {
+// applyRecordLocked updates the cell's pending write and role from a new record.
+func (o *OwnershipManager) applyRecordLocked(cell *cellState) {
+	pendingApplied := cell.pendingApplied()
+	if pendingApplied || cell.pendingFailed() {
 		cell.pending = nil
 		cell.retry.reset()
 		cell.retryAt = time.Time{}
 	}
 	switch {
-	case applied && cell.record.Vacant:
+	case pendingApplied && cell.record.Vacant:
 		o.stepDownLocked(cell, "handed over")
-	case applied:
-		o.ownLocked(cell)
+	case pendingApplied:
+		o.becomeOwnerLocked(cell)
 	case cell.role != roleNone && cell.replaced(o.self.ID()):
 		o.stepDownLocked(cell, "replaced")
 	case cell.role == roleVacating && cell.pending == nil:
@@ -296,7 +304,7 @@
 	}
 }
 
-func (o *OwnershipManager) ownLocked(cell *cellState) {
+func (o *OwnershipManager) becomeOwnerLocked(cell *cellState) {
 	cell.role = roleOwner
 	cell.epoch = cell.record.Epoch
 	cell.otherWinnerSince = time.Time{}
--- a/internal/membership/probe_targets.go
+++ b/internal/membership/probe_targets.go
@@ -7,30 +7,31 @@
 	"sort"
 )
 
-// helperDraws is how often a helper is drawn from all members for each that is
-// wanted, since some are no use.
-const helperDraws = 4
+// drawsPerProber is how many members are drawn at random per indirect prober that
+// is wanted, since some of them are unusable.
+const drawsPerProber = 4
 
-// minNeighbours is how many members of other zones a node probes, if there are.
+// minNeighbours is the minimum number of members of other zones that a node probes,
+// if there are as many.
 const minNeighbours = 8
 
-// probeTargets are the members that this node probes: those of its zone, and
-// those of the next zone or zones in order of name, so that the loss of a whole
-// zone is found out too.
+// probeTargets are the members that this node probes: those of its zone, and those
+// of the next zone or zones in order of name, so that the failure of a whole zone
+// is detected too.
 type probeTargets struct {
 	zone, neighbours probeCycle
-	// all members but this node, in order of name.
+	// all holds all members except this node, in order of name.
 	all []Member
 }
 
-// probeCycle goes through members in a random order, drawn anew after each
-// pass. So the time between two probes of a member is bounded.
+// probeCycle iterates over members in a random order that is shuffled after each
+// pass. This bounds the time between two probes of a member, as in SWIM.
 type probeCycle struct {
 	members []Member
 	next    int
 }
 
-// replace takes the members now registered.
+// replace updates the targets to the members that are now registered.
 func (t *probeTargets) replace(self Member, members []Member, random *rand.Rand) {
 	neighbours := neighbourZones(self.Zone, members)
 	var inZone, inNeighbour []Member
@@ -52,9 +53,10 @@
 	t.neighbours.replace(inNeighbour, random)
 }
 
-// neighbourZones returns the zones after the given one in the ring of all zones
-// in order of name: one, or more where they are small, so that a member has
-// several zones' members to find out its death.
+// neighbourZones returns the zones after the given one in the ring of all zones in
+// order of name: one, or more until they have minNeighbours members together, so
+// that the failure of a member is also detected from other zones where zones are
+// small.
 func neighbourZones(zone string, members []Member) map[string]bool {
 	sizes := map[string]int{}
 	for _, member := range members {
@@ -76,8 +78,9 @@
 	return neighbours
 }
 
-// replace keeps the order of the present pass where it can: members that stay
-// are neither skipped nor probed twice, and new ones come in at random.
+// replace updates the members and preserves the order of the current pass:
+// remaining members are neither skipped nor probed twice, and new ones are inserted
+// at random positions of the rest of the pass.
 func (c *probeCycle) replace(members []Member, random *rand.Rand) {
 	byName := make(map[string]Member, len(members))
 	for _, member := range members {
@@ -103,6 +106,7 @@
 	}
 }
 
+// sortedMembers returns the members in order of name.
 func sortedMembers(byName map[string]Member) []Member {
 	members := make([]Member, 0, len(byName))
 	for _, member := range byName {
@@ -112,8 +116,8 @@
 	return members
 }
 
-// take returns the next member to probe.
-func (c *probeCycle) take(random *rand.Rand) (Member, bool) {
+// nextMember returns the next member to probe; false if there is none.
+func (c *probeCycle) nextMember(random *rand.Rand) (Member, bool) {
 	if len(c.members) == 0 {
 		return Member{}, false
 	}
@@ -128,9 +132,9 @@
 	return member, true
 }
 
-// helpers draws members other than the target that may probe it, from the own
-// zone first.
-func (t *probeTargets) helpers(target Member, count int, usable func(Member) bool, random *rand.Rand) []Member {
+// drawIndirectProbers draws up to count members that probe the target on behalf of
+// this node: usable members other than the target, first from the own zone.
+func (t *probeTargets) drawIndirectProbers(target Member, count int, usable func(Member) bool, random *rand.Rand) []Member {
 	chosen := make([]Member, 0, count)
 	consider := func(candidate Member) {
 		if len(chosen) < count && candidate.Name != target.Name && usable(candidate) && !slices.Contains(chosen, candidate) {
@@ -140,7 +144,7 @@
 	for _, index := range random.Perm(len(t.zone.members)) {
 		consider(t.zone.members[index])
 	}
-	for range min(count*helperDraws, len(t.all)*helperDraws) {
+	for range min(count*drawsPerProber, len(t.all)*drawsPerProber) {
 		consider(t.all[random.IntN(len(t.all))])
 	}
 	return chosen
--- a/internal/membership/publisher.go
+++ b/internal/membership/publisher.go
@@ -6,20 +6,21 @@
 	"sync"
 )
 
-// publisher tells a detector's members to its receiver, one call at a time and
+// publisher passes a detector's members to its callback, one call at a time and
 // only when they changed.
 type publisher struct {
 	mutex     sync.Mutex
 	published []Member
 }
 
-// publish calls onChange with what read returns; read reports whether the
-// members are known at all. No lock that read needs may be held.
-func (p *publisher) publish(read func() (members []Member, known bool), onChange func([]Member)) {
+// publish calls onChange with the members that read returns, sorted by name, unless
+// read reports that they are not ready or they are unchanged. The caller must not
+// hold a lock that read needs.
+func (p *publisher) publish(read func() (members []Member, ready bool), onChange func([]Member)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	members, known := read()
-	if !known {
+	members, ready := read()
+	if !ready {
 		return
 	}
 	sort.Slice(members, func(i, j int) bool { return members[i].Name < members[j].Name })
--- a/internal/membership/registry.go
+++ b/internal/membership/registry.go
@@ -4,50 +4,51 @@
 	"sync"
 )
 
-// Detector finds out which members are alive. Implementations differ in whom
-// they ask: LeaseDetector relies on leases in the key-value service.
+// Detector is a failure detector: it determines which members are alive.
+// LeaseDetector relies on leases in the key-value service, HeartbeatDetector on
+// probes between members.
 type Detector interface {
-	// Start announces self and begins to detect. onChange receives the live
-	// members in order of name whenever they changed; calls never overlap.
+	// Start registers self and begins to detect. onChange is called with the live
+	// members, in order of name, whenever they changed; calls never overlap.
 	Start(self Member, onChange func(members []Member))
-	// Update announces a changed self.
+	// Update registers a changed self.
 	Update(self Member)
-	// Stop withdraws the announcement. Done as in package outside; it is
-	// called also when the withdrawal could not be made known.
+	// Stop deregisters this node. done is called as described in package outside,
+	// also if the deregistration failed.
 	Stop(done func())
 }
 
-// Registry is this node's knowledge of the members; it implements View. What
-// it knows is kept over an outage of the key-value service.
+// Registry holds this node's view of the members; it implements View. The view is
+// kept during an outage of the key-value service.
 type Registry struct {
 	detector Detector
 
 	mutex   sync.Mutex
 	self    Member
 	members []Member
-	// synchronised: the members were read at least once.
+	// synchronised: the members have been read at least once.
 	synchronised bool
 	subscribers  []func([]Member)
 }
 
-// NewRegistry returns a registry that knows only this node.
+// NewRegistry returns a registry that contains only this node.
 func NewRegistry(self Member, detector Detector) *Registry {
 	return &Registry{detector: detector, self: self, members: []Member{self}}
 }
 
-// Subscribe adds a function that is called with the members after each change.
-// It must be called before Start.
+// Subscribe adds a function that is called with the members after each change. It
+// must be called before Start.
 func (r *Registry) Subscribe(subscriber func(members []Member)) {
 	r.subscribers = append(r.subscribers, subscriber)
 }
 
-// Start announces this node and begins to detect the others.
+// Start registers this node and begins to detect the others.
 func (r *Registry) Start() { r.detector.Start(r.Self(), r.replace) }
 
-// Stop withdraws this node; done is called when that is over.
+// Stop deregisters this node. done is called afterwards, also after a failure.
 func (r *Registry) Stop(done func()) { r.detector.Stop(done) }
 
-// SetDraining announces whether this node is being stopped.
+// SetDraining sets this node's Draining flag and publishes it to the other members.
 func (r *Registry) SetDraining(draining bool) {
 	r.mutex.Lock()
 	r.self.Draining = draining
@@ -80,8 +81,8 @@
 	}
 }
 
-// Synchronised reports whether the members were read at least once. Before
-// that this node is the only member it knows, which says nothing of the others.
+// Synchronised reports whether the members have been read at least once. Before
+// that, Members contains only this node, whatever other members there are.
 func (r *Registry) Synchronised() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -6,11 +6,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// rendezvousHash is the hash of a name as used by rendezvousScore.
+// rendezvousHash returns the hash of a name for use in rendezvousScore.
 func rendezvousHash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// rendezvousScore combines two hashes; for one key, the member with the
-// highest score wins. It is the finaliser of splitmix64.
+// rendezvousScore combines the hashes of a key and a member, by the finaliser of
+// splitmix64. The member with the highest score wins the key.
 func rendezvousScore(key, member uint64) uint64 {
 	const (
 		increment       = 0x9e3779b97f4a7c15
@@ -23,8 +23,8 @@
 	return value ^ value>>31
 }
 
-// Rank returns the members in order of their rendezvous score for the key,
-// highest first. Nodes that know the same members agree on the order.
+// Rank returns the members in descending order of their rendezvous score for the
+// key. Nodes with the same members compute the same order.
 func Rank(key string, members []Member) []Member {
 	keyHash := rendezvousHash(key)
 	ranked := append([]Member(nil), members...)
@@ -54,7 +54,8 @@
 	score     uint64
 }
 
-// beats reports whether a candidate with the score comes before the winner.
+// beatenBy reports whether a candidate with the score ranks above the winner. Ties
+// are broken by name.
 func (w winner) beatenBy(other *candidate, score uint64) bool {
 	switch {
 	case w.candidate == nil:
@@ -66,19 +67,21 @@
 	}
 }
 
-// candidates are all members that may own cells, by name.
+// candidates holds the members that may own cells, by name: all live members that
+// are not draining.
 type candidates struct {
 	byName map[string]*candidate
 }
 
-// candidateChange tells how the candidates changed.
+// candidateChange describes a change of the candidates.
 type candidateChange struct {
 	added   []*candidate
 	removed map[string]bool
 }
 
-// replace takes the live members and tells what changed. A member that only
-// changed its incarnation or addresses is updated in place.
+// replace updates the candidates to the live members and returns what changed. A
+// member of which only the incarnation or the addresses changed is updated in
+// place.
 func (c *candidates) replace(members []Member) candidateChange {
 	change := candidateChange{removed: map[string]bool{}}
 	present := make(map[string]bool, len(members))
@@ -104,8 +107,8 @@
 	return change
 }
 
-// update returns the winner for a cell after a change. Only a cell whose
-// winner was removed is compared with all candidates.
+// update returns the winner of a cell after a change. Only if the current winner
+// was removed are all candidates compared; otherwise only the added ones.
 func (c *candidates) update(current winner, cellHash uint64, eligible func(Member) bool, change candidateChange) winner {
 	consider := func(other *candidate) {
 		score := rendezvousScore(cellHash, other.hash)
--- a/internal/membership/runner_calls.go
+++ b/internal/membership/runner_calls.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// runnerCalls hands calls to the runner in order and one at a time. Calls are
-// added under the owner's lock and delivered without it.
+// runnerCalls queues calls to the runner and makes them in order, one at a time.
+// Calls are added under the lock of the OwnershipManager and made without it.
 type runnerCalls struct {
 	runner CellRunner
 
@@ -18,7 +18,7 @@
 	c.waiting = append(c.waiting, call)
 }
 
-// deliver makes all waiting calls, unless another goroutine is doing so.
+// deliver makes the queued calls, unless another goroutine is doing so.
 func (c *runnerCalls) deliver() {
 	for {
 		call := c.next()
@@ -32,6 +32,7 @@
 	}
 }
 
+// next dequeues a call; nil if there is none or one is being made.
 func (c *runnerCalls) next() func(CellRunner) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
