--- a/internal/membership/heartbeat_detector.go
+++ b/internal/membership/heartbeat_detector.go
@@ -176,12 +176,12 @@
 	}
 	d.service.Transact(transaction, d.options.Timeout, func(result outside.TransactionResult, err error) {
 		d.applyAndPublish(func(now time.Time) error {
-			var unreadable error
+			var decodeError error
 			if err == nil {
-				unreadable = d.applyResultLocked(operation, result, now)
+				decodeError = d.applyResultLocked(operation, result, now)
 			}
 			onResult(err == nil && result.Succeeded, err)
-			return unreadable
+			return decodeError
 		})
 	})
 }
--- a/internal/membership/heartbeat_options.go
+++ b/internal/membership/heartbeat_options.go
@@ -38,9 +38,9 @@
 	RefutationHold time.Duration
 	// Timeout limits one call to the key-value service.
 	Timeout time.Duration
-	// MinBackoff and MaxBackoff bound the pause before a failed write of the
-	// node's own record is repeated. MinBackoff is also the lower bound of the
-	// pause before a removed node registers again; the upper one is OutageGrace.
+	// MinBackoff and MaxBackoff bound the backoff before a failed write of the
+	// node's own record is repeated. The backoff before a removed node registers
+	// again grows from MinBackoff to OutageGrace.
 	MinBackoff, MaxBackoff time.Duration
 	// Watch configures the watch of the records.
 	Watch keywatch.Options
--- a/internal/membership/heartbeat_probing.go
+++ b/internal/membership/heartbeat_probing.go
@@ -157,6 +157,8 @@
 	}
 }
 
+// notSuspectedLocked reports whether a member answered its newest probe round, or
+// was not probed yet.
 func (d *HeartbeatDetector) notSuspectedLocked(member Member) bool {
 	return d.probing.suspects[member.ID()] == nil
 }
--- a/internal/membership/heartbeat_removal.go
+++ b/internal/membership/heartbeat_removal.go
@@ -40,6 +40,9 @@
 	}
 }
 
+// evaluateSuspectLocked accuses or removes one suspect, if that is due. A suspect
+// that this node accused and whose record is not accused any more has refuted the
+// accusation; this node then pauses its accusations.
 func (d *HeartbeatDetector) evaluateSuspectLocked(suspect *suspect, now time.Time) {
 	entry := d.registered[suspect.member.Name]
 	if entry.record.Accused {
--- a/internal/membership/meter.go
+++ b/internal/membership/meter.go
@@ -7,7 +7,7 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// OperationCounts counts the calls made to a key-value service.
+// OperationCounts holds the number of calls made to a key-value service, by kind.
 type OperationCounts struct {
 	Transactions, Ranges, LeaseGrants, KeepAlives, LeaseRevokes, Watches uint64
 }
--- a/internal/membership/owners.go
+++ b/internal/membership/owners.go
@@ -190,8 +190,9 @@
 	return o.options.UnseenOwnerGrace
 }
 
-// mayAcquireLocked reports whether this node should own the cell, and the cell has
-// no owner or the owner has been absent for the grace period.
+// mayAcquireLocked reports whether this node may acquire the cell: it has the
+// highest rendezvous score, and the cell has no owner, a former incarnation of this
+// node owned it, or the owner has been absent for the grace period.
 func (o *OwnershipManager) mayAcquireLocked(cell *cellState, now time.Time) bool {
 	if !o.selfWinsLocked(cell) {
 		cell.ownerMissingSince = time.Time{}
