--- a/internal/membership/cell_state.go
+++ b/internal/membership/cell_state.go
@@ -37,8 +37,9 @@
 	epoch uint64
 	// ownerSeen: the recorded owner has been among this node's live members.
 	ownerSeen bool
-	// ownerMissingSince is when the recorded owner was first absent from the live
-	// members; zero if it is present.
+	// ownerMissingSince is when the recorded owner was first found absent from the
+	// live members; zero if it is present. It is only tracked while this node has
+	// the highest rendezvous score for the cell.
 	ownerMissingSince time.Time
 	// otherWinnerSince is since when another member than this owner has had the
 	// highest rendezvous score for the cell.
