--- a/cmd/hatchplank-node/assemble.go
+++ b/cmd/hatchplank-node/assemble.go
@@ -64,8 +64,8 @@
 
 // Connections to servers and to the store.
 var (
-	toServers = exchange.DialSettings{Timeout: 300 * time.Millisecond, Unacknowledged: time.Second}
-	toStore   = exchange.DialSettings{Timeout: time.Second, Unacknowledged: 2 * time.Second}
+	toServers = exchange.DialSettings{Timeout: 300 * time.Millisecond, AckTimeout: time.Second}
+	toStore   = exchange.DialSettings{Timeout: time.Second, AckTimeout: 2 * time.Second}
 )
 
 // node is the product's parts, bound to the platform.
@@ -104,7 +104,7 @@
 		store:   platform.NewStore(settings.Store.Address, exchange.NewClient(toStore), settings.Store.Contact, logger),
 		process: edge.NewProcess(settings, logger),
 	}
-	n.servers.SetMostIdle(settings.Machine.IdleConnections())
+	n.servers.SetMaxIdle(settings.Machine.IdleConnections())
 	transport, err := tcp.New(tcp.Config{
 		Address: settings.Listen.Peers, AdvertisedAddress: settings.Listen.PeersAdvertised, Secret: []byte(settings.Cluster.Secret), Logger: logger, MaxBackoff: peerBackoff,
 		QueueLength: peerQueue, MaxPendingCalls: peerQueue,
@@ -329,7 +329,7 @@
 			n.forwarder.Prune()
 			n.notices.Prune(now)
 			n.limits.Prune(now)
-			n.servers.Tidy(now)
+			n.servers.Prune(now)
 		}
 	}
 }
--- a/cmd/hatchplank-node/node_test.go
+++ b/cmd/hatchplank-node/node_test.go
@@ -154,7 +154,7 @@
 		Expect(json.NewDecoder(answer.Body).Decode(&page)).To(Succeed())
 		return page
 	}
-	Eventually(func() bool { return page().Holds }, "30s").Should(BeTrue())
+	Eventually(func() bool { return page().IsHolder }, "30s").Should(BeTrue())
 	Eventually(func() int { return standin.Post("http://"+process.Address(edge.Callers), "/s/x", "b") }, "30s").Should(Equal(http.StatusOK))
 	shown := page()
 	Expect(shown.Holder).To(Equal("x"))
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -19,7 +19,7 @@
 		Example: "  cat a.log b.log | hatchplank explain 9c41d07be2a35f68\n  cat a.log b.log | hatchplank explain --day",
 		RunE: func(command *cobra.Command, arguments []string) error {
 			if day {
-				return explain.Day(command.InOrStdin(), command.OutOrStdout())
+				return explain.SummarizeOutcomes(command.InOrStdin(), command.OutOrStdout())
 			}
 			return explain.Explain(arguments[0], command.InOrStdin(), command.OutOrStdout())
 		},
--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -16,8 +16,8 @@
 var (
 	// ErrNotSent: nothing of the request was sent.
 	ErrNotSent = errors.New("nothing was sent")
-	// ErrForeignAnswer: the answers on the connection belong to other requests.
-	ErrForeignAnswer = errors.New("the answer belongs to another request")
+	// ErrResponseMismatch: the answers on the connection belong to other requests.
+	ErrResponseMismatch = errors.New("the answer belongs to another request")
 )
 
 const (
@@ -45,9 +45,9 @@
 	// Matches tells whether an answer with this head belongs to the request;
 	// nil: each does.
 	Matches func(head *http.Response) bool
-	// Heard is called with the head of each final answer that is read, also of those
+	// OnHead is called with the head of each final answer that is read, also of those
 	// that belong to other requests; nil: not called.
-	Heard func(head *http.Response)
+	OnHead func(head *http.Response)
 }
 
 // Client keeps connections to servers. It is safe for concurrent use.
@@ -63,20 +63,21 @@
 
 // NewClient returns a client.
 func NewClient(dial DialSettings) *Client {
-	if dial.IdlePerServer == 0 {
-		dial.IdlePerServer = idlePerServer
+	if dial.MaxIdlePerServer == 0 {
+		dial.MaxIdlePerServer = idlePerServer
 	}
-	if dial.Keep == 0 {
-		dial.Keep = keepDefault
+	if dial.IdleTimeout == 0 {
+		dial.IdleTimeout = keepDefault
 	}
 	return &Client{dial: dial, idle: map[string][]*connection{}}
 }
 
-// SetMostIdle bounds the idle connections to all servers together. Before the first use.
+// SetMaxIdle limits the idle connections to all servers together. It must be called before the
+// first use.
 //
 // A node that asks 9,640 servers something otherwise keeps as many connections, more than
 // its machine has descriptors, and can accept none of its callers.
-func (c *Client) SetMostIdle(most int) { c.mostIdle = most }
+func (c *Client) SetMaxIdle(most int) { c.mostIdle = most }
 
 // Opened counts the connections that came up.
 func (c *Client) Opened() uint64 {
@@ -108,7 +109,7 @@
 	}
 	response.Body = &answerBody{
 		ReadCloser: response.Body, client: c, conn: conn, address: request.Address, stop: stop, written: written,
-		keep: clean && !response.Close, keepFor: keepFor(response.Header.Get("Keep-Alive"), c.dial.Keep),
+		keep: clean && !response.Close, keepFor: keepFor(response.Header.Get("Keep-Alive"), c.dial.IdleTimeout),
 	}
 	return response, nil
 }
@@ -125,8 +126,8 @@
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		if request.Heard != nil {
-			request.Heard(response)
+		if request.OnHead != nil {
+			request.OnHead(response)
 		}
 		if request.Matches == nil || request.Matches(response) {
 			return response, clean, nil
@@ -134,13 +135,13 @@
 		clean = false
 		skipped++
 		if response.Close || response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-			return nil, false, ErrForeignAnswer
+			return nil, false, ErrResponseMismatch
 		}
 		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, longestForeign)); err != nil {
-			return nil, false, errors.Join(ErrForeignAnswer, err)
+			return nil, false, errors.Join(ErrResponseMismatch, err)
 		}
 	}
-	return nil, false, ErrForeignAnswer
+	return nil, false, ErrResponseMismatch
 }
 
 // connect takes a kept connection or opens one.
@@ -177,7 +178,7 @@
 	if err != nil {
 		return err
 	}
-	conn.keepUntil = time.Now().Add(c.dial.Keep)
+	conn.keepUntil = time.Now().Add(c.dial.IdleTimeout)
 	c.putIdle(address, conn)
 	return nil
 }
@@ -203,7 +204,7 @@
 func (c *Client) putIdle(address string, conn *connection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if len(c.idle[address]) >= c.dial.IdlePerServer {
+	if len(c.idle[address]) >= c.dial.MaxIdlePerServer {
 		_ = conn.Close()
 		return
 	}
@@ -242,8 +243,8 @@
 	c.kept = 0
 }
 
-// Tidy closes kept connections whose time is over. It is called now and then.
-func (c *Client) Tidy(now time.Time) {
+// Prune closes kept connections whose time is over. It is called now and then.
+func (c *Client) Prune(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for address, kept := range c.idle {
--- a/internal/exchange/connection.go
+++ b/internal/exchange/connection.go
@@ -42,13 +42,13 @@
 type DialSettings struct {
 	// Timeout for a connection to come up.
 	Timeout time.Duration
-	// Unacknowledged is how long sent bytes may go without acknowledgement, and
+	// AckTimeout is how long sent bytes may go without acknowledgement, and
 	// how long a silent peer may leave probes unanswered.
-	Unacknowledged time.Duration
-	// IdlePerServer connections are kept at most, and each for so long if its server does
-	// not tell a time; zero: 64, and 4 s.
-	IdlePerServer int
-	Keep          time.Duration
+	AckTimeout time.Duration
+	// MaxIdlePerServer is the maximum number of idle connections to a server; zero: 64.
+	// IdleTimeout is how long one is kept if the server sends no Keep-Alive timeout; zero: 4 s.
+	MaxIdlePerServer int
+	IdleTimeout      time.Duration
 	// Dial connects; nil: by TCP with these settings.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
@@ -73,7 +73,7 @@
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(descriptor uintptr) {
 				// A failure leaves the system's default, which is only slower.
-				_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Unacknowledged.Milliseconds()))
+				_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.AckTimeout.Milliseconds()))
 			})
 		},
 	}
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -88,7 +88,7 @@
 		server := &scriptedServer{scripts: scripts}
 		client := NewClient(DialSettings{Timeout: time.Second, Dial: server.dial})
 		body(client, server)
-		client.Tidy(time.Now().Add(time.Hour))
+		client.Prune(time.Now().Add(time.Hour))
 		// Servers that still wait for something end meanwhile.
 		time.Sleep(time.Minute)
 		synctest.Wait()
@@ -115,7 +115,7 @@
 		scripts[i] = answers(answer("1", "one"))
 	}
 	withServer(t, scripts, func(client *Client, server *scriptedServer) {
-		client.SetMostIdle(most)
+		client.SetMaxIdle(most)
 		for number := range servers {
 			request := requestFor("1")
 			request.Address = fmt.Sprint("s", number)
@@ -129,7 +129,7 @@
 			kept += len(idle)
 		}
 		Expect(kept).To(Equal(most))
-		client.Tidy(time.Now().Add(time.Hour))
+		client.Prune(time.Now().Add(time.Hour))
 		Expect(client.kept).To(BeZero())
 		Expect(client.idle).To(BeEmpty())
 	})
@@ -298,7 +298,7 @@
 		_, _ = io.WriteString(second, answer("2", "two"))
 		_ = second.Close()
 	}()
-	client := NewClient(DialSettings{Timeout: 10 * time.Second, Unacknowledged: time.Second})
+	client := NewClient(DialSettings{Timeout: 10 * time.Second, AckTimeout: time.Second})
 	asked := requestFor("1")
 	asked.Address = listener.Addr().String()
 	response, err := client.Do(context.Background(), asked)
--- a/internal/exchange/transport.go
+++ b/internal/exchange/transport.go
@@ -52,7 +52,7 @@
 	}
 	t.mutex.Unlock()
 	if due {
-		t.Client.Tidy(now)
+		t.Client.Prune(now)
 	}
 }
 
--- a/internal/explain/day.go
+++ b/internal/explain/day.go
@@ -18,9 +18,9 @@
 	byCause map[string]int
 }
 
-// Day writes, for each route, how its requests ended and what made them late, with
+// SummarizeOutcomes writes, for each route, how its requests ended and what made them late, with
 // the most frequent first. A caller that was refused and came back is two requests.
-func Day(logs io.Reader, output io.Writer) error {
+func SummarizeOutcomes(logs io.Reader, output io.Writer) error {
 	lines, err := readLines(logs)
 	if err != nil {
 		return err
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -62,7 +62,7 @@
 func TestEndsOfADay(t *testing.T) {
 	RegisterTestingT(t)
 	var output bytes.Buffer
-	Expect(explain.Day(strings.NewReader(dayLogs), &output)).To(Succeed())
+	Expect(explain.SummarizeOutcomes(strings.NewReader(dayLogs), &output)).To(Succeed())
 	var words []string
 	for _, text := range strings.Split(strings.TrimSpace(output.String()), "\n") {
 		words = append(words, strings.Join(strings.Fields(text), " "))
--- a/internal/inspect/inspect_test.go
+++ b/internal/inspect/inspect_test.go
@@ -42,10 +42,10 @@
 	source(nil).ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/status", nil))
 	var page inspect.Page
 	Expect(json.Unmarshal(answer.Body.Bytes(), &page)).To(Succeed())
-	Expect(page.Version).To(BeEquivalentTo(7))
-	Expect(page.Revision).To(BeEquivalentTo(42))
+	Expect(page.ConfigurationVersion).To(BeEquivalentTo(7))
+	Expect(page.ConfigurationRevision).To(BeEquivalentTo(42))
 	Expect(page.Routes).To(Equal(1))
-	Expect(page.Holds).To(BeFalse())
+	Expect(page.IsHolder).To(BeFalse())
 	Expect(page.Servers).To(HaveLen(2))
 	Expect(page.Servers[0].ID).To(Equal("i-1"))
 	Expect(page.Servers[0].Draining).To(BeTrue())
@@ -57,7 +57,7 @@
 	RegisterTestingT(t)
 	now := time.Now()
 	page := source(inspect.Origins{"i-2": {"m": {Since: now.Add(-12 * time.Second), Reason: "cold"}}}).Page(now)
-	Expect(page.Holds).To(BeTrue())
+	Expect(page.IsHolder).To(BeTrue())
 	Expect(page.Servers[1].Replicas[0].Reason).To(Equal("cold"))
 	var text bytes.Buffer
 	Expect(page.Print(&text)).To(Succeed())
--- a/internal/inspect/page.go
+++ b/internal/inspect/page.go
@@ -18,13 +18,13 @@
 	Node string `json:"node"`
 	Zone string `json:"zone"`
 	// Configuration in force; its revision is 0 if there is none.
-	Version  int64 `json:"configuration_version"`
-	Revision int64 `json:"configuration_revision"`
-	Routes   int   `json:"routes"`
+	ConfigurationVersion  int64 `json:"configuration_version"`
+	ConfigurationRevision int64 `json:"configuration_revision"`
+	Routes                int   `json:"routes"`
 	// Holder of orders, and whether that is this node. Only the holder knows why
 	// each model is where it is.
-	Holder string `json:"holder"`
-	Holds  bool   `json:"holds"`
+	Holder   string `json:"holder"`
+	IsHolder bool   `json:"holds"`
 	// Relayed: the holder tells this node what the store holds.
 	Relayed bool     `json:"relayed"`
 	Servers []Server `json:"servers"`
@@ -38,9 +38,9 @@
 	// Identity of the request, as in logs and as in its key in the store.
 	Identity string   `json:"identity"`
 	Servers  []string `json:"servers"`
-	// Times that it was refused so, and seconds that it is still.
-	Times   int     `json:"times"`
-	Seconds float64 `json:"seconds"`
+	// Refusals is how often the request was refused, RemainingSeconds how long it still is.
+	Refusals         int     `json:"times"`
+	RemainingSeconds float64 `json:"seconds"`
 }
 
 // Server is what a node knows of one server.
@@ -59,8 +59,8 @@
 	Adapters []string `json:"adapters"`
 	// Reason for which it was loaded, and how long it has been there, in seconds;
 	// empty where this node does not know.
-	Reason  string  `json:"reason,omitempty"`
-	Seconds float64 `json:"seconds,omitempty"`
+	Reason     string  `json:"reason,omitempty"`
+	AgeSeconds float64 `json:"seconds,omitempty"`
 }
 
 // Demand is what this node's callers ask for now.
@@ -106,10 +106,10 @@
 	snapshot := s.View.Load()
 	page := Page{Node: s.Node, Zone: s.Zone, Holder: s.Holder(), Relayed: s.Relayed(), Servers: []Server{}, Demand: []Demand{}, Poison: []Poison{}}
 	if configuration := snapshot.Configuration; configuration != nil {
-		page.Version, page.Revision, page.Routes = configuration.Version, configuration.Revision, configuration.RouteCount()
+		page.ConfigurationVersion, page.ConfigurationRevision, page.Routes = configuration.Version, configuration.Revision, configuration.RouteCount()
 	}
 	origins := s.Origins()
-	page.Holds = origins != nil
+	page.IsHolder = origins != nil
 	for _, server := range snapshot.Servers {
 		page.Servers = append(page.Servers, describe(server, origins[server.ID], now))
 	}
@@ -129,7 +129,7 @@
 	}
 	for _, entry := range s.Poison() {
 		page.Poison = append(page.Poison, Poison{
-			Identity: entry.Identity.Text(), Servers: entry.Servers, Times: entry.Times, Seconds: entry.Until.Sub(now).Seconds(),
+			Identity: entry.Identity.Text(), Servers: entry.Servers, Refusals: entry.Times, RemainingSeconds: entry.Until.Sub(now).Seconds(),
 		})
 	}
 	return page
@@ -144,7 +144,7 @@
 		if origin, known := origins[name]; known {
 			replica.Reason = origin.Reason
 			if !origin.Since.IsZero() {
-				replica.Seconds = now.Sub(origin.Since).Seconds()
+				replica.AgeSeconds = now.Sub(origin.Since).Seconds()
 			}
 		}
 		described.Replicas = append(described.Replicas, replica)
--- a/internal/inspect/print.go
+++ b/internal/inspect/print.go
@@ -10,10 +10,10 @@
 // Print writes a page for a person.
 func (p Page) Print(output io.Writer) error {
 	fmt.Fprintf(output, "node %s in %s\n", p.Node, p.Zone)
-	if p.Revision == 0 {
+	if p.ConfigurationRevision == 0 {
 		fmt.Fprintln(output, "no configuration yet")
 	} else {
-		fmt.Fprintf(output, "configuration %d of revision %d, %d routes\n", p.Version, p.Revision, p.Routes)
+		fmt.Fprintf(output, "configuration %d of revision %d, %d routes\n", p.ConfigurationVersion, p.ConfigurationRevision, p.Routes)
 	}
 	fmt.Fprintln(output, p.holderLine())
 	writer := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
@@ -45,13 +45,13 @@
 	}
 	fmt.Fprintln(output, "\nREFUSED REQUEST\tTIMES\tSTILL FOR\tSERVERS THAT ENDED")
 	for _, refused := range p.Poison {
-		fmt.Fprintf(output, "%s\t%d\t%.0fs\t%s\n", refused.Identity, refused.Times, refused.Seconds, strings.Join(refused.Servers, ","))
+		fmt.Fprintf(output, "%s\t%d\t%.0fs\t%s\n", refused.Identity, refused.Refusals, refused.RemainingSeconds, strings.Join(refused.Servers, ","))
 	}
 }
 
 func (p Page) holderLine() string {
 	switch {
-	case p.Holds:
+	case p.IsHolder:
 		return "this node orders the model servers"
 	case p.Holder == "":
 		return "no node is known to order the model servers"
@@ -73,8 +73,8 @@
 	}
 	for _, replica := range s.Replicas {
 		lasting := ""
-		if replica.Seconds > 0 {
-			lasting = fmt.Sprintf("%.0fs", replica.Seconds)
+		if replica.AgeSeconds > 0 {
+			lasting = fmt.Sprintf("%.0fs", replica.AgeSeconds)
 		}
 		fmt.Fprintf(output, "%s\t%s\t%s\t%s\t%s\n", line, replica.Model, strings.Join(replica.Adapters, ","), lasting, replica.Reason)
 	}
--- a/internal/outside/contract/keyvalue_bindings_test.go
+++ b/internal/outside/contract/keyvalue_bindings_test.go
@@ -78,10 +78,10 @@
 	manual := &manualClock{now: simulation.Epoch}
 	store := newStore(manual)
 	server := httptest.NewServer(standin.NewStoreServer(store))
-	client := exchange.NewClient(exchange.DialSettings{Timeout: longTimeout, Unacknowledged: longTimeout})
+	client := exchange.NewClient(exchange.DialSettings{Timeout: longTimeout, AckTimeout: longTimeout})
 	DeferCleanup(server.Close)
 	DeferCleanup(store.Close)
-	DeferCleanup(func() { client.Tidy(time.Now().Add(time.Hour)) })
+	DeferCleanup(func() { client.Prune(time.Now().Add(time.Hour)) })
 	return &keyValueHarness{
 		service:      platform.NewStore(strings.TrimPrefix(server.URL, "http://"), client, longTimeout, zerolog.Nop()),
 		store:        store,
--- a/internal/outside/httpapi/backend.go
+++ b/internal/outside/httpapi/backend.go
@@ -28,8 +28,8 @@
 func newClient(options Options) *http.Client {
 	return &http.Client{
 		Transport: &exchange.Transport{Client: exchange.NewClient(exchange.DialSettings{
-			Timeout: options.DialTimeout, Unacknowledged: options.DialTimeout,
-			IdlePerServer: options.IdleConnectionsPerServer, Keep: options.IdleConnectionTimeout,
+			Timeout: options.DialTimeout, AckTimeout: options.DialTimeout,
+			MaxIdlePerServer: options.IdleConnectionsPerServer, IdleTimeout: options.IdleConnectionTimeout,
 		})},
 		CheckRedirect: func(*http.Request, []*http.Request) error {
 			return http.ErrUseLastResponse
