--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -12,62 +12,64 @@
 	"github.com/rotisserie/eris"
 )
 
-// Errors of an exchange. They are added to the cause; test with errors.Is.
+// Errors of an exchange. They are joined with their cause; test for them with errors.Is.
 var (
-	// ErrNotSent: nothing of the request was sent.
+	// ErrNotSent reports that no byte of the request was sent, so that it is safe to retry.
 	ErrNotSent = errors.New("nothing was sent")
-	// ErrResponseMismatch: the answers on the connection belong to other requests.
+	// ErrResponseMismatch reports that the responses on the connection belong to other requests.
 	ErrResponseMismatch = errors.New("the answer belongs to another request")
 )
 
 const (
-	// inlineBody is the size up to which a body is written before the answer is
-	// read; a longer one is written beside it, since the server may answer
-	// before it has read all.
-	inlineBody = 2 << 10
-	// foreignAnswers are skipped at most before the exchange fails.
-	foreignAnswers = 2
-	// idlePerServer connections are kept at most, unless the settings tell.
-	idlePerServer = 64
-	// longestForeign answer that is read in order to skip it, in bytes.
-	longestForeign = 1 << 20
+	// maxInlineBody is the size in bytes up to which a body is written before the response is
+	// read. A longer one is written concurrently, since the server may respond before it has
+	// read all of it.
+	maxInlineBody = 2 << 10
+	// maxSkippedResponses is the number of other requests' responses that are skipped before
+	// the exchange fails.
+	maxSkippedResponses = 2
+	// defaultIdlePerServer is the default of DialSettings.MaxIdlePerServer.
+	defaultIdlePerServer = 64
+	// maxSkippedBody is the maximum number of bytes read to skip the body of a response.
+	maxSkippedBody = 1 << 20
 )
 
-// Request is one exchange.
+// Request is the request of one exchange.
 type Request struct {
 	// Address of the server.
 	Address string
-	// Method is needed to know whether the answer has a body.
+	// Method decides whether the response has a body.
 	Method string
-	// Head is the request line and headers, with the empty line.
+	// Head is the encoded request line and headers, including the empty line.
 	Head []byte
 	Body []byte
-	// Matches tells whether an answer with this head belongs to the request;
-	// nil: each does.
+	// Matches reports whether a response with this head belongs to the request; nil: every
+	// response does.
 	Matches func(head *http.Response) bool
-	// OnHead is called with the head of each final answer that is read, also of those
+	// OnHead is called with the head of each final response that is read, including those
 	// that belong to other requests; nil: not called.
 	OnHead func(head *http.Response)
 }
 
-// Client keeps connections to servers. It is safe for concurrent use.
+// Client sends requests to servers and keeps idle connections for reuse. It is safe for concurrent
+// use.
 type Client struct {
 	dial DialSettings
 
 	mutex sync.Mutex
 	idle  map[string][]*connection
-	// kept counts the idle connections, of which there are mostIdle at most; 0: any.
-	kept, mostIdle int
-	opened         uint64
+	// idleCount is the number of idle connections to all servers, maxIdle its limit; 0: no limit.
+	idleCount, maxIdle int
+	opened             uint64
 }
 
-// NewClient returns a client.
+// NewClient returns a client that connects with the given settings.
 func NewClient(dial DialSettings) *Client {
 	if dial.MaxIdlePerServer == 0 {
-		dial.MaxIdlePerServer = idlePerServer
+		dial.MaxIdlePerServer = defaultIdlePerServer
 	}
 	if dial.IdleTimeout == 0 {
-		dial.IdleTimeout = keepDefault
+		dial.IdleTimeout = defaultIdleTimeout
 	}
 	return &Client{dial: dial, idle: map[string][]*connection{}}
 }
@@ -75,50 +77,50 @@
 // SetMaxIdle limits the idle connections to all servers together. It must be called before the
 // first use.
 //
-// A node that asks 9,640 servers something otherwise keeps as many connections, more than
-// its machine has descriptors, and can accept none of its callers.
-func (c *Client) SetMaxIdle(most int) { c.mostIdle = most }
+// Without a limit, a node that sends requests to 9,640 servers keeps as many connections, which is
+// more than its machine has file descriptors, and can't accept connections of its own clients.
+func (c *Client) SetMaxIdle(limit int) { c.maxIdle = limit }
 
-// Opened counts the connections that came up.
+// Opened returns the number of connections opened so far.
 func (c *Client) Opened() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.opened
 }
 
-// Do sends a request once and returns when the head of its answer was read. The
-// body ends with io.EOF only if the answer is whole. When ctx ends, also while
-// the body is read, the connection is closed.
+// Do sends a request exactly once and returns when the head of its response has been read. Reading
+// the body returns io.EOF only if the response is complete. When ctx ends, even while the body is
+// being read, the connection is closed.
 func (c *Client) Do(ctx context.Context, request Request) (*http.Response, error) {
-	conn, err := c.connect(ctx, request.Address)
+	conn, err := c.acquire(ctx, request.Address)
 	if err != nil {
 		return nil, errors.Join(ErrNotSent, err)
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
-	written := &writing{}
-	if err := written.start(conn, request); err != nil {
+	write := &requestWrite{}
+	if err := write.start(conn, request); err != nil {
 		stop()
 		_ = conn.Close()
 		return nil, err
 	}
-	response, clean, err := readAnswer(conn.reader, request)
+	response, clean, err := readResponse(conn.reader, request)
 	if err != nil {
 		stop()
 		_ = conn.Close()
 		return nil, err
 	}
-	response.Body = &answerBody{
-		ReadCloser: response.Body, client: c, conn: conn, address: request.Address, stop: stop, written: written,
-		keep: clean && !response.Close, keepFor: keepFor(response.Header.Get("Keep-Alive"), c.dial.IdleTimeout),
+	response.Body = &responseBody{
+		ReadCloser: response.Body, client: c, conn: conn, address: request.Address, stop: stop, write: write,
+		reusable: clean && !response.Close, idleTimeout: idleTimeoutFrom(response.Header.Get("Keep-Alive"), c.dial.IdleTimeout),
 	}
 	return response, nil
 }
 
-// readAnswer reads the head of the request's answer, and skips interim answers
-// and surplus ones of other requests. Clean is false if there were surplus ones.
-func readAnswer(reader *bufio.Reader, request Request) (response *http.Response, clean bool, err error) {
+// readResponse reads the head of the request's response. It skips interim (1xx) responses, and a few
+// responses that belong to other requests; clean is false if there were any of the latter.
+func readResponse(reader *bufio.Reader, request Request) (response *http.Response, clean bool, err error) {
 	clean = true
-	for skipped := 0; skipped <= foreignAnswers; {
+	for skipped := 0; skipped <= maxSkippedResponses; {
 		response, err = http.ReadResponse(reader, &http.Request{Method: request.Method})
 		if err != nil {
 			return nil, false, eris.Wrap(err, "read the answer's head")
@@ -137,21 +139,21 @@
 		if response.Close || response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
 			return nil, false, ErrResponseMismatch
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, longestForeign)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSkippedBody)); err != nil {
 			return nil, false, errors.Join(ErrResponseMismatch, err)
 		}
 	}
 	return nil, false, ErrResponseMismatch
 }
 
-// connect takes a kept connection or opens one.
-func (c *Client) connect(ctx context.Context, address string) (*connection, error) {
+// acquire returns an idle connection that is still usable, or else opens a new one.
+func (c *Client) acquire(ctx context.Context, address string) (*connection, error) {
 	for {
 		conn := c.takeIdle(address)
 		if conn == nil {
 			break
 		}
-		if time.Now().Before(conn.keepUntil) && conn.quiet() {
+		if time.Now().Before(conn.expiresAt) && conn.isReusable() {
 			return conn, nil
 		}
 		_ = conn.Close()
@@ -171,19 +173,20 @@
 	return conn, nil
 }
 
-// Connect finds out whether somebody listens at an address. A connection that comes up
+// Connect checks whether a server accepts connections at an address. A connection that is opened
 // is kept for the next request.
 func (c *Client) Connect(ctx context.Context, address string) error {
 	conn, err := c.open(ctx, address)
 	if err != nil {
 		return err
 	}
-	conn.keepUntil = time.Now().Add(c.dial.IdleTimeout)
+	conn.expiresAt = time.Now().Add(c.dial.IdleTimeout)
 	c.putIdle(address, conn)
 	return nil
 }
 
-// takeIdle returns the connection that was used last.
+// takeIdle removes and returns the most recently used idle connection to a server; nil if there is
+// none.
 func (c *Client) takeIdle(address string) *connection {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -192,7 +195,7 @@
 		return nil
 	}
 	last := kept[len(kept)-1]
-	c.kept--
+	c.idleCount--
 	if len(kept) == 1 {
 		delete(c.idle, address)
 		return last
@@ -201,6 +204,7 @@
 	return last
 }
 
+// putIdle keeps a connection for reuse, within the limits on idle connections.
 func (c *Client) putIdle(address string, conn *connection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -208,19 +212,19 @@
 		_ = conn.Close()
 		return
 	}
-	if c.mostIdle > 0 && c.kept >= c.mostIdle {
-		c.closeAny()
+	if c.maxIdle > 0 && c.idleCount >= c.maxIdle {
+		c.closeOldestIdle()
 	}
-	c.kept++
+	c.idleCount++
 	c.idle[address] = append(c.idle[address], conn)
 }
 
-// closeAny closes the oldest idle connection of any server. It must be called with the
-// lock held.
-func (c *Client) closeAny() {
+// closeOldestIdle closes the least recently used idle connection of an arbitrary server. It must be
+// called with the lock held.
+func (c *Client) closeOldestIdle() {
 	for address, kept := range c.idle {
 		_ = kept[0].Close()
-		c.kept--
+		c.idleCount--
 		if len(kept) == 1 {
 			delete(c.idle, address)
 		} else {
@@ -230,7 +234,7 @@
 	}
 }
 
-// closeIdle closes all kept connections.
+// closeIdle closes all idle connections.
 func (c *Client) closeIdle() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -240,22 +244,22 @@
 		}
 		delete(c.idle, address)
 	}
-	c.kept = 0
+	c.idleCount = 0
 }
 
-// Prune closes kept connections whose time is over. It is called now and then.
+// Prune closes idle connections whose timeout has expired. It is to be called periodically.
 func (c *Client) Prune(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for address, kept := range c.idle {
 		var left []*connection
 		for _, conn := range kept {
-			if now.Before(conn.keepUntil) {
+			if now.Before(conn.expiresAt) {
 				left = append(left, conn)
 				continue
 			}
 			_ = conn.Close()
-			c.kept--
+			c.idleCount--
 		}
 		if len(left) == 0 {
 			delete(c.idle, address)
@@ -265,16 +269,18 @@
 	}
 }
 
-// writing sends a request, the body beside the reading of the answer if it is
-// long.
-type writing struct {
+// requestWrite writes a request to a connection. A long body is written in the background, while the
+// response is read.
+type requestWrite struct {
 	mutex sync.Mutex
-	// done: all was written.
+	// done is set once the whole request has been written.
 	done bool
 }
 
-func (w *writing) start(conn *connection, request Request) error {
-	if len(request.Body) <= inlineBody {
+// start writes the request, or its head if the body is long. The error is ErrNotSent if nothing was
+// written.
+func (w *requestWrite) start(conn *connection, request Request) error {
+	if len(request.Body) <= maxInlineBody {
 		count, err := conn.Write(append(request.Head[:len(request.Head):len(request.Head)], request.Body...))
 		if err != nil && count == 0 {
 			return errors.Join(ErrNotSent, err)
@@ -298,56 +304,57 @@
 	return nil
 }
 
-func (w *writing) finished() bool {
+// finished reports whether the whole request has been written.
+func (w *requestWrite) finished() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.done
 }
 
-// answerBody gives the connection back once the answer was read to its end.
-type answerBody struct {
+// responseBody is the body of a response. Its connection is kept for reuse once the body has been
+// read completely.
+type responseBody struct {
 	io.ReadCloser
-	client  *Client
-	conn    *connection
-	address string
-	stop    func() bool
-	written *writing
-	keep    bool
-	keepFor time.Duration
-	ended   bool
+	client      *Client
+	conn        *connection
+	address     string
+	stop        func() bool
+	write       *requestWrite
+	reusable    bool
+	idleTimeout time.Duration
+	closed      bool
 }
 
 // Read implements io.Reader.
-func (b *answerBody) Read(part []byte) (int, error) {
-	if b.ended {
+func (b *responseBody) Read(buffer []byte) (int, error) {
+	if b.closed {
 		return 0, io.EOF
 	}
-	count, err := b.ReadCloser.Read(part)
+	count, err := b.ReadCloser.Read(buffer)
 	if errors.Is(err, io.EOF) {
-		b.end()
+		b.finish()
 	}
 	return count, err
 }
 
-// end gives the connection back, or closes it where it can't be used again.
-func (b *answerBody) end() {
-	b.ended = true
+// finish keeps the connection for reuse, or closes it if it is not reusable.
+func (b *responseBody) finish() {
+	b.closed = true
 	stopped := b.stop()
-	if !stopped || !b.keep || !b.written.finished() || b.conn.reader.Buffered() > 0 {
+	if !stopped || !b.reusable || !b.write.finished() || b.conn.reader.Buffered() > 0 {
 		_ = b.conn.Close()
 		return
 	}
-	b.conn.keepUntil = time.Now().Add(b.keepFor)
+	b.conn.expiresAt = time.Now().Add(b.idleTimeout)
 	b.client.putIdle(b.address, b.conn)
 }
 
-// Close ends the exchange; an answer that was not read to its end costs the
-// connection.
-func (b *answerBody) Close() error {
-	if b.ended {
+// Close ends the exchange. If the response was not read completely, the connection is closed.
+func (b *responseBody) Close() error {
+	if b.closed {
 		return nil
 	}
-	b.ended = true
+	b.closed = true
 	b.stop()
 	return b.conn.Close()
 }
--- a/internal/exchange/connection.go
+++ b/internal/exchange/connection.go
@@ -1,10 +1,10 @@
-// Package exchange is an HTTP/1.1 client for servers that must never get a
-// request twice by accident. Each exchange is sent once, on one connection; it
-// tells whether anything was sent; answers are matched to their request; and a
-// connection on which anything unexpected came is not used again.
+// Package exchange is an HTTP/1.1 client for servers that must never receive a request twice by
+// accident. Each request is sent once, on one connection, and errors report whether any of it was
+// sent. Responses are matched to their request, and a connection on which unexpected data arrived is
+// not reused.
 //
-// net/http's own client is not used, because it repeats requests by itself on
-// kept connections and adds headers.
+// The client of net/http is not used because it retries requests by itself on reused connections and
+// adds headers.
 package exchange
 
 import (
@@ -18,41 +18,43 @@
 )
 
 const (
-	// readBuffer and writeBuffer of a connection, in bytes.
+	// readBuffer is the size of a connection's read buffer in bytes.
 	readBuffer = 4 << 10
-	// keepDefault is how long a connection is kept for which the server did not
-	// tell a time.
-	keepDefault = 4 * time.Second
-	// keepMargin is the part of the time told that is not used.
-	keepMargin = time.Second
-	// tcpUserTimeout is the socket option that ends a connection whose peer
-	// does not acknowledge bytes (RFC 5482); package syscall does not name it.
+	// defaultIdleTimeout is how long an idle connection is kept if neither the server nor the
+	// settings give a timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutMargin is subtracted from the timeout that the server gives, so that the
+	// connection is not used just as the server closes it.
+	idleTimeoutMargin = time.Second
+	// tcpUserTimeout is the socket option TCP_USER_TIMEOUT (RFC 5482), which closes a connection
+	// whose peer does not acknowledge data; package syscall does not define it.
 	tcpUserTimeout = 0x12
 )
 
-// connection is one connection to a server, used by one exchange at a time.
+// connection is a connection to a server, used by one exchange at a time.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
-	// keepUntil is when the server may close it.
-	keepUntil time.Time
+	// expiresAt is when an idle connection is no longer reused, since the server may close it.
+	expiresAt time.Time
 }
 
-// DialSettings of connections to servers.
+// DialSettings configures the connections to servers.
 type DialSettings struct {
-	// Timeout for a connection to come up.
+	// Timeout is the time limit for opening a connection.
 	Timeout time.Duration
-	// AckTimeout is how long sent bytes may go without acknowledgement, and
-	// how long a silent peer may leave probes unanswered.
+	// AckTimeout is how long sent data, or keep-alive probes, may remain unacknowledged before
+	// the connection is closed.
 	AckTimeout time.Duration
 	// MaxIdlePerServer is the maximum number of idle connections to a server; zero: 64.
 	// IdleTimeout is how long one is kept if the server sends no Keep-Alive timeout; zero: 4 s.
 	MaxIdlePerServer int
 	IdleTimeout      time.Duration
-	// Dial connects; nil: by TCP with these settings.
+	// Dial opens a connection; nil: TCP with these settings.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
+// dial opens a connection within the time limit.
 func (d DialSettings) dial(ctx context.Context, address string) (*connection, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.Timeout)
 	defer cancel()
@@ -67,12 +69,13 @@
 	return &connection{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
 }
 
+// dialTCP opens a TCP connection with keep-alive probes and AckTimeout.
 func (d DialSettings) dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(descriptor uintptr) {
-				// A failure leaves the system's default, which is only slower.
+				// On failure the system's default applies, which only detects a dead peer later.
 				_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.AckTimeout.Milliseconds()))
 			})
 		},
@@ -80,41 +83,41 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// quiet reports whether the connection is open and nothing came on it since
-// the last answer.
-func (c *connection) quiet() bool {
+// isReusable reports whether the connection is open and no data has arrived on it since the last
+// response.
+func (c *connection) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	holder, isSyscall := c.Conn.(syscall.Conn)
+	socket, isSyscall := c.Conn.(syscall.Conn)
 	if !isSyscall {
 		return true
 	}
-	raw, err := holder.SyscallConn()
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = raw.Read(func(descriptor uintptr) bool {
-		var one [1]byte
-		_, _, failure := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = failure == syscall.EAGAIN
+		var peeked [1]byte
+		_, _, failure := syscall.Recvfrom(int(descriptor), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		noData = failure == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
 
-// keepFor reads how long a server keeps a connection, from its Keep-Alive
-// header, or else is as given.
-func keepFor(header string, otherwise time.Duration) time.Duration {
+// idleTimeoutFrom returns how long to keep an idle connection: the timeout of the server's Keep-Alive
+// header minus the margin, or fallback if the header gives none.
+func idleTimeoutFrom(header string, fallback time.Duration) time.Duration {
 	for _, part := range strings.Split(header, ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(part), "=")
 		if !found || !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if seconds, err := strconv.Atoi(value); err == nil {
-			return max(time.Duration(seconds)*time.Second-keepMargin, 0)
+			return max(time.Duration(seconds)*time.Second-idleTimeoutMargin, 0)
 		}
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -17,13 +17,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// script is what a server does on one connection, after each request's head.
-type script func(conn net.Conn, reader *bufio.Reader)
+// connectionScript is the behaviour of a server on one connection.
+type connectionScript func(conn net.Conn, reader *bufio.Reader)
 
-// scriptedServer gives each new connection the next script.
+// scriptedServer runs the next script on each new connection, and refuses connections once all
+// scripts have been used.
 type scriptedServer struct {
 	mutex   sync.Mutex
-	scripts []script
+	scripts []connectionScript
 	dials   int
 }
 
@@ -53,7 +54,9 @@
 	return request, string(body)
 }
 
-func answers(texts ...string) script {
+// respondWith returns a script that answers each request with the next text, and then reads on
+// without responding.
+func respondWith(texts ...string) connectionScript {
 	return func(conn net.Conn, reader *bufio.Reader) {
 		for _, text := range texts {
 			if request, _ := readRequest(reader); request == nil {
@@ -65,10 +68,12 @@
 	}
 }
 
-func answer(id, body string) string {
+// response returns an encoded response with the ID and a body of at most nine bytes.
+func response(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + string(rune('0'+len(body))) + "\r\n\r\n" + body
 }
 
+// requestFor returns a request that accepts only the response with the ID.
 func requestFor(id string) Request {
 	return Request{
 		Address: "s", Method: http.MethodPost, Head: []byte("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n"), Body: []byte("ab"),
@@ -76,27 +81,29 @@
 	}
 }
 
+// read reads the body of a response and closes it.
 func read(response *http.Response) (string, error) {
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	return string(body), err
 }
 
-func withServer(t *testing.T, scripts []script, body func(client *Client, server *scriptedServer)) {
+// withServer runs a test in a synctest bubble, with a client of a scripted server.
+func withServer(t *testing.T, scripts []connectionScript, test func(client *Client, server *scriptedServer)) {
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
 		server := &scriptedServer{scripts: scripts}
 		client := NewClient(DialSettings{Timeout: time.Second, Dial: server.dial})
-		body(client, server)
+		test(client, server)
 		client.Prune(time.Now().Add(time.Hour))
-		// Servers that still wait for something end meanwhile.
+		// Scripts that still wait end within this time.
 		time.Sleep(time.Minute)
 		synctest.Wait()
 	})
 }
 
-func TestKeepsAConnectionForTheNextRequest(t *testing.T) {
-	withServer(t, []script{answers(answer("1", "one"), answer("2", "two"))}, func(client *Client, server *scriptedServer) {
+func TestReusesAConnection(t *testing.T) {
+	withServer(t, []connectionScript{respondWith(response("1", "one"), response("2", "two"))}, func(client *Client, server *scriptedServer) {
 		for _, id := range []string{"1", "2"} {
 			response, err := client.Do(context.Background(), requestFor(id))
 			Expect(err).NotTo(HaveOccurred())
@@ -107,39 +114,39 @@
 	})
 }
 
-// A node that asks very many servers once keeps few of the connections.
+// A node that sends one request to each of very many servers keeps few of the connections.
 func TestIdleConnectionsAreBounded(t *testing.T) {
-	const servers, most = 200, 10
-	scripts := make([]script, servers)
+	const servers, limit = 200, 10
+	scripts := make([]connectionScript, servers)
 	for i := range scripts {
-		scripts[i] = answers(answer("1", "one"))
+		scripts[i] = respondWith(response("1", "one"))
 	}
 	withServer(t, scripts, func(client *Client, server *scriptedServer) {
-		client.SetMaxIdle(most)
+		client.SetMaxIdle(limit)
 		for number := range servers {
 			request := requestFor("1")
 			request.Address = fmt.Sprint("s", number)
 			response, err := client.Do(context.Background(), request)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(read(response)).To(Equal("one"))
-			Expect(client.kept).To(BeNumerically("<=", most))
+			Expect(client.idleCount).To(BeNumerically("<=", limit))
 		}
 		kept := 0
 		for _, idle := range client.idle {
 			kept += len(idle)
 		}
-		Expect(kept).To(Equal(most))
+		Expect(kept).To(Equal(limit))
 		client.Prune(time.Now().Add(time.Hour))
-		Expect(client.kept).To(BeZero())
+		Expect(client.idleCount).To(BeZero())
 		Expect(client.idle).To(BeEmpty())
 	})
 }
 
 func TestNothingIsSentTwice(t *testing.T) {
-	closes := func(conn net.Conn, reader *bufio.Reader) {
+	closeAfterRequest := func(conn net.Conn, reader *bufio.Reader) {
 		readRequest(reader)
 	}
-	withServer(t, []script{closes, answers(answer("1", "one"))}, func(client *Client, server *scriptedServer) {
+	withServer(t, []connectionScript{closeAfterRequest, respondWith(response("1", "one"))}, func(client *Client, server *scriptedServer) {
 		_, err := client.Do(context.Background(), requestFor("1"))
 		Expect(err).To(HaveOccurred())
 		Expect(errors.Is(err, ErrNotSent)).To(BeFalse(), "the request may have run")
@@ -147,24 +154,24 @@
 	})
 }
 
-func TestTellsThatNothingWasSent(t *testing.T) {
+func TestReportsThatNothingWasSent(t *testing.T) {
 	withServer(t, nil, func(client *Client, _ *scriptedServer) {
 		_, err := client.Do(context.Background(), requestFor("1"))
 		Expect(errors.Is(err, ErrNotSent)).To(BeTrue())
 	})
 }
 
-func TestConnectionsAreNotUsedAgain(t *testing.T) {
+func TestConnectionsThatAreNotReused(t *testing.T) {
 	cases := map[string]string{
-		"told to close":          "HTTP/1.1 200 OK\r\nId: 1\r\nConnection: close\r\nContent-Length: 3\r\n\r\none",
-		"surplus answer":         answer("1", "one") + answer("1", "one"),
-		"surplus bytes":          answer("1", "one") + "x",
-		"no time to keep":        "HTTP/1.1 200 OK\r\nId: 1\r\nKeep-Alive: timeout=1\r\nContent-Length: 3\r\n\r\none",
-		"answer of another, too": answer("0", "old") + answer("1", "one"),
+		"asked to close":         "HTTP/1.1 200 OK\r\nId: 1\r\nConnection: close\r\nContent-Length: 3\r\n\r\none",
+		"surplus answer":         response("1", "one") + response("1", "one"),
+		"surplus bytes":          response("1", "one") + "x",
+		"idle timeout too short": "HTTP/1.1 200 OK\r\nId: 1\r\nKeep-Alive: timeout=1\r\nContent-Length: 3\r\n\r\none",
+		"answer of another, too": response("0", "old") + response("1", "one"),
 	}
 	for name, text := range cases {
 		t.Run(name, func(t *testing.T) {
-			withServer(t, []script{answers(text), answers(answer("2", "two"))}, func(client *Client, server *scriptedServer) {
+			withServer(t, []connectionScript{respondWith(text), respondWith(response("2", "two"))}, func(client *Client, server *scriptedServer) {
 				response, err := client.Do(context.Background(), requestFor("1"))
 				Expect(err).NotTo(HaveOccurred())
 				Expect(read(response)).To(Equal("one"))
@@ -177,9 +184,9 @@
 	}
 }
 
-func TestAnswersThatAreNotTheRequests(t *testing.T) {
+func TestResponsesOfOtherRequestsAreRejected(t *testing.T) {
 	cases := map[string]string{
-		"only others'":        answer("7", "old") + answer("8", "old") + answer("9", "old"),
+		"only others'":        response("7", "old") + response("8", "old") + response("9", "old"),
 		"another's until end": "HTTP/1.1 200 OK\r\nId: 7\r\n\r\nold",
 		"no answer":           "hello\r\n\r\n",
 		"half a head":         "HTTP/1.1 200 OK\r\nId: 1\r\nConte",
@@ -190,7 +197,7 @@
 				readRequest(reader)
 				_, _ = io.WriteString(conn, text)
 			}
-			withServer(t, []script{once}, func(client *Client, _ *scriptedServer) {
+			withServer(t, []connectionScript{once}, func(client *Client, _ *scriptedServer) {
 				_, err := client.Do(context.Background(), requestFor("1"))
 				Expect(err).To(HaveOccurred())
 				Expect(errors.Is(err, ErrNotSent)).To(BeFalse())
@@ -199,16 +206,16 @@
 	}
 }
 
-func TestBodiesThatAreNotWhole(t *testing.T) {
+func TestTruncatedBodiesAreErrors(t *testing.T) {
 	cases := map[string]struct {
 		text  string
 		whole bool
 	}{
-		"shorter than told": {"HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\none", false},
-		"chunk cut":         {"HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\non", false},
-		"last chunk left":   {"HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n", false},
-		"all chunks":        {"HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n", true},
-		"until the end":     {"HTTP/1.1 200 OK\r\nId: 1\r\n\r\none", true},
+		"shorter than announced": {"HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\none", false},
+		"chunk cut":              {"HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\non", false},
+		"last chunk missing":     {"HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n", false},
+		"all chunks":             {"HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n", true},
+		"until the end":          {"HTTP/1.1 200 OK\r\nId: 1\r\n\r\none", true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -216,7 +223,7 @@
 				readRequest(reader)
 				_, _ = io.WriteString(conn, test.text)
 			}
-			withServer(t, []script{once}, func(client *Client, _ *scriptedServer) {
+			withServer(t, []connectionScript{once}, func(client *Client, _ *scriptedServer) {
 				response, err := client.Do(context.Background(), requestFor("1"))
 				Expect(err).NotTo(HaveOccurred())
 				_, err = read(response)
@@ -226,25 +233,25 @@
 	}
 }
 
-func TestSkipsInterimAnswers(t *testing.T) {
-	withServer(t, []script{answers("HTTP/1.1 100 Continue\r\n\r\n" + answer("1", "one"))}, func(client *Client, _ *scriptedServer) {
+func TestSkipsInterimResponses(t *testing.T) {
+	withServer(t, []connectionScript{respondWith("HTTP/1.1 100 Continue\r\n\r\n" + response("1", "one"))}, func(client *Client, _ *scriptedServer) {
 		response, err := client.Do(context.Background(), requestFor("1"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(read(response)).To(Equal("one"))
 	})
 }
 
-// A server may answer before it has read the body; what is left of the body must
-// not be taken as the next request.
-func TestEarlyAnswerToALongBodyCostsTheConnection(t *testing.T) {
-	early := func(conn net.Conn, reader *bufio.Reader) {
+// A server may respond before it has read the body. On a reused connection it would read the rest of
+// the body as the next request.
+func TestEarlyResponseToALongBodyClosesTheConnection(t *testing.T) {
+	respondEarly := func(conn net.Conn, reader *bufio.Reader) {
 		if _, err := http.ReadRequest(reader); err != nil {
 			return
 		}
-		_, _ = io.WriteString(conn, answer("1", "one"))
+		_, _ = io.WriteString(conn, response("1", "one"))
 		time.Sleep(time.Second)
 	}
-	withServer(t, []script{early, answers(answer("2", "two"))}, func(client *Client, server *scriptedServer) {
+	withServer(t, []connectionScript{respondEarly, respondWith(response("2", "two"))}, func(client *Client, server *scriptedServer) {
 		long := requestFor("1")
 		long.Body = []byte(strings.Repeat("x", 64<<10))
 		long.Head = []byte("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 65536\r\n\r\n")
@@ -258,15 +265,15 @@
 	})
 }
 
-func TestEndOfTheContextClosesTheConnection(t *testing.T) {
+func TestContextCancellationClosesTheConnection(t *testing.T) {
 	closed := make(chan time.Duration, 1)
-	waits := func(_ net.Conn, reader *bufio.Reader) {
+	neverRespond := func(_ net.Conn, reader *bufio.Reader) {
 		started := time.Now()
 		readRequest(reader)
 		_, _ = io.Copy(io.Discard, reader)
 		closed <- time.Since(started)
 	}
-	withServer(t, []script{waits}, func(client *Client, _ *scriptedServer) {
+	withServer(t, []connectionScript{neverRespond}, func(client *Client, _ *scriptedServer) {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		defer cancel()
 		_, err := client.Do(ctx, requestFor("1"))
@@ -275,7 +282,7 @@
 	})
 }
 
-func TestConnectionThatTheServerClosedIsNotUsed(t *testing.T) {
+func TestConnectionClosedByTheServerIsNotReused(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	RegisterTestingT(t)
 	Expect(err).NotTo(HaveOccurred())
@@ -287,7 +294,7 @@
 			return
 		}
 		readRequest(bufio.NewReader(first))
-		_, _ = io.WriteString(first, answer("1", "one"))
+		_, _ = io.WriteString(first, response("1", "one"))
 		_ = first.Close()
 		close(closed)
 		second, err := listener.Accept()
@@ -295,22 +302,22 @@
 			return
 		}
 		readRequest(bufio.NewReader(second))
-		_, _ = io.WriteString(second, answer("2", "two"))
+		_, _ = io.WriteString(second, response("2", "two"))
 		_ = second.Close()
 	}()
 	client := NewClient(DialSettings{Timeout: 10 * time.Second, AckTimeout: time.Second})
-	asked := requestFor("1")
-	asked.Address = listener.Addr().String()
-	response, err := client.Do(context.Background(), asked)
+	request := requestFor("1")
+	request.Address = listener.Addr().String()
+	response, err := client.Do(context.Background(), request)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(read(response)).To(Equal("one"))
 	<-closed
-	kept := client.idle[asked.Address]
+	kept := client.idle[request.Address]
 	Expect(kept).To(HaveLen(1))
-	Eventually(kept[0].quiet).Should(BeFalse())
-	asked = requestFor("2")
-	asked.Address = listener.Addr().String()
-	response, err = client.Do(context.Background(), asked)
+	Eventually(kept[0].isReusable).Should(BeFalse())
+	request = requestFor("2")
+	request.Address = listener.Addr().String()
+	response, err = client.Do(context.Background(), request)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(read(response)).To(Equal("two"))
 }
--- a/internal/exchange/transport.go
+++ b/internal/exchange/transport.go
@@ -9,30 +9,30 @@
 	"time"
 )
 
-// tidyPeriod between looks for kept connections whose time is over.
-const tidyPeriod = time.Second
+// prunePeriod is the minimum interval between prunings of idle connections.
+const prunePeriod = time.Second
 
-// Transport is an http.RoundTripper over a Client, for callers that speak in requests of
-// net/http: each is sent once at most. Its errors can be tested with ErrNotSent.
+// Transport is an http.RoundTripper over a Client, for use with package net/http. Each request is
+// sent at most once. Its errors can be tested for ErrNotSent.
 type Transport struct {
 	Client *Client
 
-	mutex  sync.Mutex
-	tidied time.Time
+	mutex    sync.Mutex
+	prunedAt time.Time
 }
 
 var _ http.RoundTripper = (*Transport)(nil)
 
-// RoundTrip implements http.RoundTripper. The body of the request is read as a whole before
-// it is sent.
+// RoundTrip implements http.RoundTripper. It reads the whole body of the request before it sends
+// anything.
 func (t *Transport) RoundTrip(request *http.Request) (*http.Response, error) {
-	t.tidy(time.Now())
+	t.pruneIfDue(time.Now())
 	body, err := readBody(request)
 	if err != nil {
 		return nil, err
 	}
 	response, err := t.Client.Do(request.Context(), Request{
-		Address: request.URL.Host, Method: request.Method, Head: headOf(request, len(body)), Body: body,
+		Address: request.URL.Host, Method: request.Method, Head: encodeHead(request, len(body)), Body: body,
 	})
 	if err != nil {
 		return nil, err
@@ -41,14 +41,15 @@
 	return response, nil
 }
 
-// CloseIdleConnections closes all connections that are kept.
+// CloseIdleConnections closes all idle connections.
 func (t *Transport) CloseIdleConnections() { t.Client.closeIdle() }
 
-func (t *Transport) tidy(now time.Time) {
+// pruneIfDue prunes the client's idle connections, at most once per prunePeriod.
+func (t *Transport) pruneIfDue(now time.Time) {
 	t.mutex.Lock()
-	due := now.Sub(t.tidied) >= tidyPeriod
+	due := now.Sub(t.prunedAt) >= prunePeriod
 	if due {
-		t.tidied = now
+		t.prunedAt = now
 	}
 	t.mutex.Unlock()
 	if due {
@@ -56,6 +57,7 @@
 	}
 }
 
+// readBody reads the whole body of a request; nil if it has none.
 func readBody(request *http.Request) ([]byte, error) {
 	if request.Body == nil {
 		return nil, nil
@@ -64,8 +66,9 @@
 	return io.ReadAll(request.Body)
 }
 
-// headOf is the request line and headers of a request with a body of the length.
-func headOf(request *http.Request, length int) []byte {
+// encodeHead returns the encoded request line and headers of a request with a body of the given
+// length.
+func encodeHead(request *http.Request, length int) []byte {
 	var head bytes.Buffer
 	host := request.Host
 	if host == "" {
@@ -80,7 +83,7 @@
 	if length > 0 || request.Method == http.MethodPost || request.Method == http.MethodPut || request.Method == http.MethodPatch {
 		header.Set("Content-Length", strconv.Itoa(length))
 	}
-	// A buffer takes all that is written.
+	// Writing to a bytes.Buffer does not fail.
 	_ = header.Write(&head)
 	head.WriteString("\r\n")
 	return head.Bytes()
--- a/internal/exchange/transport_test.go
+++ b/internal/exchange/transport_test.go
@@ -13,8 +13,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// A request of net/http arrives as it was built, without what its own client adds, and is
-// never sent again: also one that net/http would repeat on a kept connection that broke.
+// A request of net/http arrives as it was built, without the headers that the client of net/http
+// adds, and is never retried, not even where net/http would do so because a reused connection
+// broke.
 func TestTransportSendsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
@@ -32,7 +33,7 @@
 				}
 			}
 		}
-		server := &scriptedServer{scripts: []script{answerThenBreak, answerThenBreak}}
+		server := &scriptedServer{scripts: []connectionScript{answerThenBreak, answerThenBreak}}
 		transport := &Transport{Client: NewClient(DialSettings{Timeout: 1e9, Dial: server.dial})}
 		client := &http.Client{Transport: transport}
 		defer client.CloseIdleConnections()
@@ -58,7 +59,7 @@
 		err := send(http.MethodGet, "/again", "")
 		Expect(err).To(HaveOccurred())
 		Expect(errors.Is(err, ErrNotSent)).To(BeFalse())
-		Expect(server.dials).To(Equal(1), "on the kept connection, and on no other")
+		Expect(server.dials).To(Equal(1), "on the reused connection only")
 		Expect(seen).To(HaveLen(2))
 		server.scripts = nil
 		Expect(errors.Is(send(http.MethodGet, "/refused", ""), ErrNotSent)).To(BeTrue())
--- a/scripts/mechanisms.sh
+++ b/scripts/mechanisms.sh
@@ -34,7 +34,7 @@
 
 # A large fleet.
 switch_off asked-in-waves internal/orders/report_queue.go 'for h.reports.workers < maxConcurrentReports &&' 'for h.reports.workers < 1<<20 &&' ./internal/orders
-switch_off idle-connections internal/exchange/client.go 'if c.mostIdle > 0 && c.kept >= c.mostIdle {' 'if false {' ./internal/exchange
+switch_off idle-connections internal/exchange/client.go 'if c.maxIdle > 0 && c.idleCount >= c.maxIdle {' 'if false {' ./internal/exchange
 switch_off configuration-first internal/mirror/reading.go 'if m.isLarge(own) {' 'if m.isLarge(own) && false {' ./internal/mirror
 switch_off skipped-records internal/mirror/relay.go 'if !m.largeFleet || m.revision == 0 {' 'if true {' ./internal/mirror
 switch_off copy-after-gap internal/mirror/snapshot.go 'm.snapshotFloor = max(m.snapshotFloor, read.At-1)' '_ = read' ./internal/mirror
@@ -107,7 +107,7 @@
 # Answers.
 switch_off answer-identity platform/backend.go 'return response.Header.Get(headerRequestID) == attempt.Request.ID' 'return true' ./platform
 switch_off foreign-costs-connection internal/exchange/client.go 'clean = false' 'clean = true' ./internal/exchange
-switch_off unwritten-costs-connection internal/exchange/client.go '|| !b.written.finished()' '' ./internal/exchange
+switch_off unwritten-costs-connection internal/exchange/client.go '|| !b.write.finished()' '' ./internal/exchange
 switch_off torn-answer-closes platform/ingress.go 'case outcome.HeadSent || outcome.Code == result.CallerGone:
 		// Only a closed connection tells the client that the response is incomplete.
 		panic(http.ErrAbortHandler)' 'case outcome.HeadSent || outcome.Code == result.CallerGone:' ./platform
