--- a/internal/explain/day.go
+++ b/internal/explain/day.go
@@ -8,18 +8,18 @@
 	"text/tabwriter"
 )
 
-// ended is the message of the line that each request has at its end.
-const ended = "request ended"
+// requestEndedMessage is the message of the log line of a finished request.
+const requestEndedMessage = "request ended"
 
-// routeEnds counts how the requests of one route ended.
-type routeEnds struct {
-	route   string
-	total   int
-	byCause map[string]int
+// routeOutcomes counts the outcomes of one route's requests.
+type routeOutcomes struct {
+	name      string
+	total     int
+	byOutcome map[string]int
 }
 
-// SummarizeOutcomes writes, for each route, how its requests ended and what made them late, with
-// the most frequent first. A caller that was refused and came back is two requests.
+// SummarizeOutcomes writes the outcomes of each route's requests, and the causes of delays, most
+// frequent first. A request that was refused and then retried by its client counts twice.
 func SummarizeOutcomes(logs io.Reader, output io.Writer) error {
 	lines, err := readLines(logs)
 	if err != nil {
@@ -27,81 +27,81 @@
 	}
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "ROUTE\tREQUESTS\tSHARE\tEND")
-	for _, ends := range countEnds(lines) {
-		fmt.Fprintf(table, "%s\t%d\t\t\n", ends.route, ends.total)
-		for _, cause := range ends.causes() {
-			count := ends.byCause[cause]
-			fmt.Fprintf(table, "\t%d\t%.3f\t%s\n", count, float64(count)/float64(ends.total), cause)
+	for _, route := range countOutcomes(lines) {
+		fmt.Fprintf(table, "%s\t%d\t\t\n", route.name, route.total)
+		for _, outcome := range route.outcomes() {
+			count := route.byOutcome[outcome]
+			fmt.Fprintf(table, "\t%d\t%.3f\t%s\n", count, float64(count)/float64(route.total), outcome)
 		}
 	}
 	return table.Flush()
 }
 
-// countEnds returns the routes with the most requests first.
-func countEnds(lines []*line) []*routeEnds {
-	byRoute := map[string]*routeEnds{}
-	for _, told := range lines {
-		if told.text != ended {
+// countOutcomes counts the outcomes by route. It returns the routes with the most requests first.
+func countOutcomes(lines []*line) []*routeOutcomes {
+	byRoute := map[string]*routeOutcomes{}
+	for _, entry := range lines {
+		if entry.text != requestEndedMessage {
 			continue
 		}
-		route := cmp.Or(told.word("route"), "(none)")
+		route := cmp.Or(entry.stringField("route"), "(none)")
 		if byRoute[route] == nil {
-			byRoute[route] = &routeEnds{route: route, byCause: map[string]int{}}
+			byRoute[route] = &routeOutcomes{name: route, byOutcome: map[string]int{}}
 		}
 		byRoute[route].total++
-		byRoute[route].byCause[endOf(told)]++
+		byRoute[route].byOutcome[outcomeOf(entry)]++
 	}
-	var all []*routeEnds
+	var all []*routeOutcomes
 	for _, ends := range byRoute {
 		all = append(all, ends)
 	}
-	slices.SortFunc(all, func(a, b *routeEnds) int {
-		return cmp.Or(cmp.Compare(b.total, a.total), cmp.Compare(a.route, b.route))
+	slices.SortFunc(all, func(a, b *routeOutcomes) int {
+		return cmp.Or(cmp.Compare(b.total, a.total), cmp.Compare(a.name, b.name))
 	})
 	return all
 }
 
-// causes returns the most frequent first.
-func (e *routeEnds) causes() []string {
-	var causes []string
-	for cause := range e.byCause {
-		causes = append(causes, cause)
+// outcomes returns the route's outcomes, most frequent first.
+func (e *routeOutcomes) outcomes() []string {
+	var outcomes []string
+	for outcome := range e.byOutcome {
+		outcomes = append(outcomes, outcome)
 	}
-	slices.SortFunc(causes, func(a, b string) int {
-		return cmp.Or(cmp.Compare(e.byCause[b], e.byCause[a]), cmp.Compare(a, b))
+	slices.SortFunc(outcomes, func(a, b string) int {
+		return cmp.Or(cmp.Compare(e.byOutcome[b], e.byOutcome[a]), cmp.Compare(a, b))
 	})
-	return causes
+	return outcomes
 }
 
-// endOf names the end of a request and what is known of its cause.
-func endOf(told *line) string {
-	text := told.word("code")
+// outcomeOf describes the outcome of a finished request, and what its log line gives of the cause.
+func outcomeOf(entry *line) string {
+	text := entry.stringField("code")
 	if text == "ok" {
 		text = "answered"
-		if status, _ := told.fields["status"].(float64); status >= 500 {
+		if status, _ := entry.fields["status"].(float64); status >= 500 {
 			text = "answered with the server's failure"
 		}
 	}
-	switch told.word("late") {
+	switch entry.stringField("late") {
 	case "start":
 		text += ", began late"
 	case "pause":
 		text += ", paused too long"
 	}
-	if _, refused := told.fields["retry_after_ms"]; refused {
+	if _, refused := entry.fields["retry_after_ms"]; refused {
 		text += ", told when to come back"
 	}
-	if told.flag("cold") {
+	if entry.boolField("cold") {
 		text += ", cold"
 	}
-	if told.flag("came_back") {
+	if entry.boolField("came_back") {
 		text += ", had come back"
 	}
 	return text
 }
 
-// flag is a field that is true, or left out.
-func (l *line) flag(name string) bool {
+// boolField returns a boolean field; false if it is missing.
+func (l *line) boolField(name string) bool {
 	set, _ := l.fields[name].(bool)
 	return set
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -22,7 +22,7 @@
 no line of ours
 `
 
-func TestStoryOfARequest(t *testing.T) {
+func TestExplainListsTheLinesOfARequest(t *testing.T) {
 	RegisterTestingT(t)
 	var output bytes.Buffer
 	Expect(explain.Explain("r1", strings.NewReader(logs), &output)).To(Succeed())
@@ -59,15 +59,15 @@
 {"node":"a","request":"6","time":"2026-12-02T09:00:00.000Z","message":"attempt failed"}
 `
 
-func TestEndsOfADay(t *testing.T) {
+func TestSummarizeOutcomes(t *testing.T) {
 	RegisterTestingT(t)
 	var output bytes.Buffer
 	Expect(explain.SummarizeOutcomes(strings.NewReader(dayLogs), &output)).To(Succeed())
-	var words []string
+	var rows []string
 	for _, text := range strings.Split(strings.TrimSpace(output.String()), "\n") {
-		words = append(words, strings.Join(strings.Fields(text), " "))
+		rows = append(rows, strings.Join(strings.Fields(text), " "))
 	}
-	Expect(words).To(Equal([]string{
+	Expect(rows).To(Equal([]string{
 		"ROUTE REQUESTS SHARE END",
 		"r 4",
 		"2 0.500 answered",
