--- a/internal/inspect/inspect_test.go
+++ b/internal/inspect/inspect_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestPageTellsWhatIsInForceAndWhereModelsAre(t *testing.T) {
+func TestPageShowsConfigurationAndReplicas(t *testing.T) {
 	RegisterTestingT(t)
 	answer := httptest.NewRecorder()
 	source(nil).ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/status", nil))
@@ -53,7 +53,7 @@
 	Expect(page.Demand).To(Equal([]inspect.Demand{{Pool: "models", Model: "m", Waiting: 2}}))
 }
 
-func TestHolderTellsWhyAModelIsWhereItIs(t *testing.T) {
+func TestHoldersPageShowsWhyModelsWereLoaded(t *testing.T) {
 	RegisterTestingT(t)
 	now := time.Now()
 	page := source(inspect.Origins{"i-2": {"m": {Since: now.Add(-12 * time.Second), Reason: "cold"}}}).Page(now)
@@ -66,28 +66,28 @@
 	Expect(text.String()).To(MatchRegexp(`models +m +2 +0`))
 }
 
-func TestPageTellsOfRefusedRequests(t *testing.T) {
+func TestPageShowsPoisonRequests(t *testing.T) {
 	RegisterTestingT(t)
 	now := time.Now()
-	shown := source(nil)
+	withPoison := source(nil)
 	identity := poison.IdentityOf("", "POST", "h", "/x", nil)
-	shown.Poison = func() []poison.Entry {
+	withPoison.Poison = func() []poison.Entry {
 		return []poison.Entry{{Identity: identity, Times: 1, Servers: []string{"i-1", "i-2"}, Until: now.Add(9 * time.Minute)}}
 	}
 	var text bytes.Buffer
-	Expect(shown.Page(now).Print(&text)).To(Succeed())
+	Expect(withPoison.Page(now).Print(&text)).To(Succeed())
 	Expect(text.String()).To(MatchRegexp(identity.Text() + ` +1 +540s +i-1,i-2`))
 }
 
-func TestNodeWithoutConfigurationSaysSo(t *testing.T) {
+func TestPageOfANodeWithoutConfiguration(t *testing.T) {
 	RegisterTestingT(t)
-	empty := &inspect.Source{
+	unconfigured := &inspect.Source{
 		Node: "n", View: fleet.NewView(), Holder: func() string { return "" }, Relayed: func() bool { return false },
 		Origins: func() inspect.Origins { return nil }, Demand: func() []forward.Demand { return nil },
 		Poison: func() []poison.Entry { return nil },
 	}
 	var text bytes.Buffer
-	Expect(empty.Page(time.Now()).Print(&text)).To(Succeed())
+	Expect(unconfigured.Page(time.Now()).Print(&text)).To(Succeed())
 	Expect(text.String()).To(ContainSubstring("no configuration yet"))
 	Expect(text.String()).To(ContainSubstring("no node is known to order"))
 }
--- a/internal/inspect/page.go
+++ b/internal/inspect/page.go
@@ -1,5 +1,5 @@
-// Package inspect shows what one node of the users' platform knows: the
-// configuration in force, who orders, what each server holds, and why.
+// Package inspect provides the status page of a node on the users' platform: the configuration in
+// force, the order holder, the models at each server and the reasons why they were loaded.
 package inspect
 
 import (
@@ -13,37 +13,38 @@
 	"github.com/hatchplank/hatchplank/internal/poison"
 )
 
-// Page is what a node knows.
+// Page is the status page of a node.
 type Page struct {
 	Node string `json:"node"`
 	Zone string `json:"zone"`
-	// Configuration in force; its revision is 0 if there is none.
+	// ConfigurationVersion and ConfigurationRevision are those of the configuration in force; the
+	// revision is 0 if there is none.
 	ConfigurationVersion  int64 `json:"configuration_version"`
 	ConfigurationRevision int64 `json:"configuration_revision"`
 	Routes                int   `json:"routes"`
-	// Holder of orders, and whether that is this node. Only the holder knows why
-	// each model is where it is.
+	// Holder is the name of the order holder, IsHolder whether it is this node. Only the holder
+	// knows why each model was loaded.
 	Holder   string `json:"holder"`
 	IsHolder bool   `json:"holds"`
-	// Relayed: the holder tells this node what the store holds.
+	// Relayed is set while the holder relays the store's state to this node.
 	Relayed bool     `json:"relayed"`
 	Servers []Server `json:"servers"`
 	Demand  []Demand `json:"demand"`
-	// Poison are the requests that are refused since servers ended under them.
+	// Poison are the quarantined requests.
 	Poison []Poison `json:"poison"`
 }
 
-// Poison is a request that is refused since servers ended under it.
+// Poison is a quarantined request: one that is refused since servers crashed while they ran it.
 type Poison struct {
-	// Identity of the request, as in logs and as in its key in the store.
+	// Identity of the request, as in logs and in its key in the store.
 	Identity string   `json:"identity"`
 	Servers  []string `json:"servers"`
-	// Refusals is how often the request was refused, RemainingSeconds how long it still is.
-	Refusals         int     `json:"times"`
+	// Quarantines is how often the request was quarantined, RemainingSeconds how long it still is.
+	Quarantines      int     `json:"times"`
 	RemainingSeconds float64 `json:"seconds"`
 }
 
-// Server is what a node knows of one server.
+// Server is the state of a server as the node knows it.
 type Server struct {
 	ID       string    `json:"id"`
 	Pool     string    `json:"pool"`
@@ -53,17 +54,17 @@
 	Replicas []Replica `json:"replicas"`
 }
 
-// Replica is a model at a server.
+// Replica is a model loaded at a server.
 type Replica struct {
 	Model    string   `json:"model"`
 	Adapters []string `json:"adapters"`
-	// Reason for which it was loaded, and how long it has been there, in seconds;
-	// empty where this node does not know.
+	// Reason is why the model was loaded, AgeSeconds the time since then; zero if unknown to
+	// this node.
 	Reason     string  `json:"reason,omitempty"`
 	AgeSeconds float64 `json:"seconds,omitempty"`
 }
 
-// Demand is what this node's callers ask for now.
+// Demand is the current demand of this node's clients for a model or adapter, in requests.
 type Demand struct {
 	Pool    string `json:"pool"`
 	Model   string `json:"model"`
@@ -72,36 +73,35 @@
 	Running int    `json:"running"`
 }
 
-// Origin tells since when a model is at a server, zero if that is not known, and
-// why.
+// Origin is the time at which a model was loaded at a server, zero if unknown, and the reason.
 type Origin struct {
 	Since  time.Time
 	Reason string
 }
 
-// Origins by server and model.
+// Origins holds origins by server and model.
 type Origins map[string]map[string]Origin
 
-// Source of a node's page. All functions are needed.
+// Source collects a node's status page. All fields are required.
 type Source struct {
 	Node, Zone string
 	View       *fleet.View
 	Demand     func() []forward.Demand
-	// Holder names the holder of orders; empty: none is known.
+	// Holder returns the name of the order holder; empty if unknown.
 	Holder func() string
-	// Origins is nil unless this node holds orders.
+	// Origins returns the replicas' origins; nil unless this node is the order holder.
 	Origins func() Origins
 	Relayed func() bool
 	Poison  func() []poison.Entry
 }
 
-// ServeHTTP answers with the page as JSON.
+// ServeHTTP responds with the page as JSON.
 func (s *Source) ServeHTTP(writer http.ResponseWriter, _ *http.Request) {
 	writer.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(writer).Encode(s.Page(time.Now()))
 }
 
-// Page collects what the node knows.
+// Page returns the node's current status page.
 func (s *Source) Page(now time.Time) Page {
 	snapshot := s.View.Load()
 	page := Page{Node: s.Node, Zone: s.Zone, Holder: s.Holder(), Relayed: s.Relayed(), Servers: []Server{}, Demand: []Demand{}, Poison: []Poison{}}
@@ -111,7 +111,7 @@
 	origins := s.Origins()
 	page.IsHolder = origins != nil
 	for _, server := range snapshot.Servers {
-		page.Servers = append(page.Servers, describe(server, origins[server.ID], now))
+		page.Servers = append(page.Servers, describeServer(server, origins[server.ID], now))
 	}
 	sort.Slice(page.Servers, func(i, j int) bool {
 		first, second := page.Servers[i], page.Servers[j]
@@ -129,18 +129,19 @@
 	}
 	for _, entry := range s.Poison() {
 		page.Poison = append(page.Poison, Poison{
-			Identity: entry.Identity.Text(), Servers: entry.Servers, Refusals: entry.Times, RemainingSeconds: entry.Until.Sub(now).Seconds(),
+			Identity: entry.Identity.Text(), Servers: entry.Servers, Quarantines: entry.Times, RemainingSeconds: entry.Until.Sub(now).Seconds(),
 		})
 	}
 	return page
 }
 
-func describe(server *fleet.Server, origins map[string]Origin, now time.Time) Server {
+// describeServer returns a server's entry in the page.
+func describeServer(server *fleet.Server, origins map[string]Origin, now time.Time) Server {
 	described := Server{
 		ID: server.ID, Pool: server.Pool, Zone: server.Zone, Address: server.Address, Draining: server.Draining, Replicas: []Replica{},
 	}
-	for name, held := range server.Models {
-		replica := Replica{Model: name, Adapters: held.AdapterNames()}
+	for name, model := range server.Models {
+		replica := Replica{Model: name, Adapters: model.AdapterNames()}
 		if origin, known := origins[name]; known {
 			replica.Reason = origin.Reason
 			if !origin.Since.IsZero() {
--- a/internal/inspect/print.go
+++ b/internal/inspect/print.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// Print writes a page for a person.
+// Print writes the page as text.
 func (p Page) Print(output io.Writer) error {
 	fmt.Fprintf(output, "node %s in %s\n", p.Node, p.Zone)
 	if p.ConfigurationRevision == 0 {
@@ -43,12 +43,13 @@
 	if len(p.Poison) == 0 {
 		return
 	}
-	fmt.Fprintln(output, "\nREFUSED REQUEST\tTIMES\tSTILL FOR\tSERVERS THAT ENDED")
-	for _, refused := range p.Poison {
-		fmt.Fprintf(output, "%s\t%d\t%.0fs\t%s\n", refused.Identity, refused.Refusals, refused.RemainingSeconds, strings.Join(refused.Servers, ","))
+	fmt.Fprintln(output, "\nPOISON REQUEST\tQUARANTINES\tREMAINING\tCRASHED SERVERS")
+	for _, entry := range p.Poison {
+		fmt.Fprintf(output, "%s\t%d\t%.0fs\t%s\n", entry.Identity, entry.Quarantines, entry.RemainingSeconds, strings.Join(entry.Servers, ","))
 	}
 }
 
+// holderLine describes which node is the order holder.
 func (p Page) holderLine() string {
 	switch {
 	case p.IsHolder:
@@ -56,9 +57,9 @@
 	case p.Holder == "":
 		return "no node is known to order the model servers"
 	case p.Relayed:
-		return p.Holder + " orders the model servers, and tells this node what the store holds; it knows why models are where they are"
+		return p.Holder + " orders the model servers, and relays the store's state to this node; its own page shows why models were loaded"
 	}
-	return p.Holder + " orders the model servers, and knows why models are where they are; this node reads the store itself"
+	return p.Holder + " orders the model servers, and its own page shows why models were loaded; this node reads the store itself"
 }
 
 func (s Server) print(output io.Writer) {
@@ -72,10 +73,10 @@
 		return
 	}
 	for _, replica := range s.Replicas {
-		lasting := ""
+		age := ""
 		if replica.AgeSeconds > 0 {
-			lasting = fmt.Sprintf("%.0fs", replica.AgeSeconds)
+			age = fmt.Sprintf("%.0fs", replica.AgeSeconds)
 		}
-		fmt.Fprintf(output, "%s\t%s\t%s\t%s\t%s\n", line, replica.Model, strings.Join(replica.Adapters, ","), lasting, replica.Reason)
+		fmt.Fprintf(output, "%s\t%s\t%s\t%s\t%s\n", line, replica.Model, strings.Join(replica.Adapters, ","), age, replica.Reason)
 	}
 }
