--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// response returns an encoded response with the ID and a body of at most nine bytes.
-func response(id, body string) string {
+// encodedResponse returns the encoding of a response with the ID and a body of at most nine bytes.
+func encodedResponse(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + string(rune('0'+len(body))) + "\r\n\r\n" + body
 }
 
@@ -103,7 +103,7 @@
 }
 
 func TestReusesAConnection(t *testing.T) {
-	withServer(t, []connectionScript{respondWith(response("1", "one"), response("2", "two"))}, func(client *Client, server *scriptedServer) {
+	withServer(t, []connectionScript{respondWith(encodedResponse("1", "one"), encodedResponse("2", "two"))}, func(client *Client, server *scriptedServer) {
 		for _, id := range []string{"1", "2"} {
 			response, err := client.Do(context.Background(), requestFor(id))
 			Expect(err).NotTo(HaveOccurred())
@@ -119,7 +119,7 @@
 	const servers, limit = 200, 10
 	scripts := make([]connectionScript, servers)
 	for i := range scripts {
-		scripts[i] = respondWith(response("1", "one"))
+		scripts[i] = respondWith(encodedResponse("1", "one"))
 	}
 	withServer(t, scripts, func(client *Client, server *scriptedServer) {
 		client.SetMaxIdle(limit)
@@ -146,7 +146,7 @@
 	closeAfterRequest := func(conn net.Conn, reader *bufio.Reader) {
 		readRequest(reader)
 	}
-	withServer(t, []connectionScript{closeAfterRequest, respondWith(response("1", "one"))}, func(client *Client, server *scriptedServer) {
+	withServer(t, []connectionScript{closeAfterRequest, respondWith(encodedResponse("1", "one"))}, func(client *Client, server *scriptedServer) {
 		_, err := client.Do(context.Background(), requestFor("1"))
 		Expect(err).To(HaveOccurred())
 		Expect(errors.Is(err, ErrNotSent)).To(BeFalse(), "the request may have run")
@@ -164,14 +164,14 @@
 func TestConnectionsThatAreNotReused(t *testing.T) {
 	cases := map[string]string{
 		"asked to close":         "HTTP/1.1 200 OK\r\nId: 1\r\nConnection: close\r\nContent-Length: 3\r\n\r\none",
-		"surplus answer":         response("1", "one") + response("1", "one"),
-		"surplus bytes":          response("1", "one") + "x",
+		"surplus answer":         encodedResponse("1", "one") + encodedResponse("1", "one"),
+		"surplus bytes":          encodedResponse("1", "one") + "x",
 		"idle timeout too short": "HTTP/1.1 200 OK\r\nId: 1\r\nKeep-Alive: timeout=1\r\nContent-Length: 3\r\n\r\none",
-		"answer of another, too": response("0", "old") + response("1", "one"),
+		"answer of another, too": encodedResponse("0", "old") + encodedResponse("1", "one"),
 	}
 	for name, text := range cases {
 		t.Run(name, func(t *testing.T) {
-			withServer(t, []connectionScript{respondWith(text), respondWith(response("2", "two"))}, func(client *Client, server *scriptedServer) {
+			withServer(t, []connectionScript{respondWith(text), respondWith(encodedResponse("2", "two"))}, func(client *Client, server *scriptedServer) {
 				response, err := client.Do(context.Background(), requestFor("1"))
 				Expect(err).NotTo(HaveOccurred())
 				Expect(read(response)).To(Equal("one"))
@@ -186,7 +186,7 @@
 
 func TestResponsesOfOtherRequestsAreRejected(t *testing.T) {
 	cases := map[string]string{
-		"only others'":        response("7", "old") + response("8", "old") + response("9", "old"),
+		"only others'":        encodedResponse("7", "old") + encodedResponse("8", "old") + encodedResponse("9", "old"),
 		"another's until end": "HTTP/1.1 200 OK\r\nId: 7\r\n\r\nold",
 		"no answer":           "hello\r\n\r\n",
 		"half a head":         "HTTP/1.1 200 OK\r\nId: 1\r\nConte",
@@ -234,7 +234,7 @@
 }
 
 func TestSkipsInterimResponses(t *testing.T) {
-	withServer(t, []connectionScript{respondWith("HTTP/1.1 100 Continue\r\n\r\n" + response("1", "one"))}, func(client *Client, _ *scriptedServer) {
+	withServer(t, []connectionScript{respondWith("HTTP/1.1 100 Continue\r\n\r\n" + encodedResponse("1", "one"))}, func(client *Client, _ *scriptedServer) {
 		response, err := client.Do(context.Background(), requestFor("1"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(read(response)).To(Equal("one"))
@@ -248,10 +248,10 @@
 		if _, err := http.ReadRequest(reader); err != nil {
 			return
 		}
-		_, _ = io.WriteString(conn, response("1", "one"))
+		_, _ = io.WriteString(conn, encodedResponse("1", "one"))
 		time.Sleep(time.Second)
 	}
-	withServer(t, []connectionScript{respondEarly, respondWith(response("2", "two"))}, func(client *Client, server *scriptedServer) {
+	withServer(t, []connectionScript{respondEarly, respondWith(encodedResponse("2", "two"))}, func(client *Client, server *scriptedServer) {
 		long := requestFor("1")
 		long.Body = []byte(strings.Repeat("x", 64<<10))
 		long.Head = []byte("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 65536\r\n\r\n")
@@ -294,7 +294,7 @@
 			return
 		}
 		readRequest(bufio.NewReader(first))
-		_, _ = io.WriteString(first, response("1", "one"))
+		_, _ = io.WriteString(first, encodedResponse("1", "one"))
 		_ = first.Close()
 		close(closed)
 		second, err := listener.Accept()
@@ -302,7 +302,7 @@
 			return
 		}
 		readRequest(bufio.NewReader(second))
-		_, _ = io.WriteString(second, response("2", "two"))
+		_, _ = io.WriteString(second, encodedResponse("2", "two"))
 		_ = second.Close()
 	}()
 	client := NewClient(DialSettings{Timeout: 10 * time.Second, AckTimeout: time.Second})
