--- a/cmd/hatchplank-node/limit_test.go
+++ b/cmd/hatchplank-node/limit_test.go
@@ -44,8 +44,8 @@
 	d.add(t, limited, "plain")
 	var nodes []string
 	for _, name := range []string{"x", "y", "z"} {
-		callers, _ := d.start(t, name)
-		nodes = append(nodes, callers)
+		url, _ := d.start(t, name)
+		nodes = append(nodes, url)
 	}
 	const perSecond = 0.5
 	limited.SetLimit("0.5")
--- a/cmd/hatchplank-node/node_test.go
+++ b/cmd/hatchplank-node/node_test.go
@@ -75,7 +75,7 @@
 }
 
 // start runs a node until the test ends or stop is called, and returns its URL for clients.
-func (d *deployment) start(t *testing.T, name string) (callers string, stop func()) {
+func (d *deployment) start(t *testing.T, name string) (url string, stop func()) {
 	process, stop := d.run(t, name)
 	return "http://" + process.Address(edge.Callers), stop
 }
@@ -118,11 +118,11 @@
 	d := newDeployment(t)
 	first, _ := d.start(t, "x")
 	second, _ := d.start(t, "y")
-	for _, callers := range []string{first, second} {
-		for _, asked := range []struct{ path, model string }{{"/p/x", ""}, {"/s/x", "a"}, {"/s/x", "a/a1"}, {"/s/x", "b"}} {
+	for _, url := range []string{first, second} {
+		for _, request := range []struct{ path, model string }{{"/p/x", ""}, {"/s/x", "a"}, {"/s/x", "a/a1"}, {"/s/x", "b"}} {
 			Eventually(func() int {
-				return standin.Post(callers, asked.path, asked.model)
-			}, "30s").Should(Equal(http.StatusOK), asked.path+asked.model)
+				return standin.Post(url, request.path, request.model)
+			}, "30s").Should(Equal(http.StatusOK), request.path+request.model)
 		}
 	}
 	for _, engine := range d.engines {
--- a/cmd/hatchplank-node/notice_test.go
+++ b/cmd/hatchplank-node/notice_test.go
@@ -21,9 +21,9 @@
 	d := newDeployment(t)
 	leaving := standin.NewEngine("i-leaves")
 	d.add(t, leaving, "plain")
-	callers, _ := d.start(t, "x")
+	url, _ := d.start(t, "x")
 	Eventually(func() int {
-		standin.Post(callers, "/p/x", "")
+		standin.Post(url, "/p/x", "")
 		return leaving.RequestCount()
 	}, "30s").Should(BeNumerically(">", 0))
 	// Its record can no longer be updated.
@@ -31,11 +31,11 @@
 	before := leaving.RequestCount()
 	leaving.SetFaults(standin.EngineFaults{Leaving: true})
 	Eventually(func() int {
-		standin.Post(callers, "/p/x", "")
+		standin.Post(url, "/p/x", "")
 		return leaving.RequestCount()
 	}, "30s").Should(Equal(before + 1))
 	for range 60 {
-		Expect(standin.Post(callers, "/p/x", "")).To(Equal(http.StatusOK))
+		Expect(standin.Post(url, "/p/x", "")).To(Equal(http.StatusOK))
 	}
 	Expect(leaving.RequestCount()).To(Equal(before + 1))
 }
@@ -49,15 +49,15 @@
 func TestServersGetNoRequestsDuringTheirRetryAfter(t *testing.T) {
 	RegisterTestingT(t)
 	d := newDeployment(t)
-	callers, _ := d.start(t, "x")
-	Eventually(func() int { return standin.Post(callers, "/s/x", "a/a1") }, "30s").Should(Equal(http.StatusOK))
+	url, _ := d.start(t, "x")
+	Eventually(func() int { return standin.Post(url, "/s/x", "a/a1") }, "30s").Should(Equal(http.StatusOK))
 	before := map[*standin.Engine]int{}
 	for _, engine := range d.engines {
 		before[engine] = engine.RequestCount()
 		engine.SetFaults(standin.EngineFaults{Full: true, RetryAfter: "600"})
 	}
 	for i := range 40 {
-		Expect(standin.Post(callers, "/s/x", []string{"a", "a/a1"}[i%2])).To(Equal(http.StatusServiceUnavailable))
+		Expect(standin.Post(url, "/s/x", []string{"a", "a/a1"}[i%2])).To(Equal(http.StatusServiceUnavailable))
 		for _, engine := range d.engines {
 			Expect(engine.RequestCount()-before[engine]).To(BeNumerically("<=", 1), engine.ID)
 		}
--- a/cmd/hatchplank-node/poison_request_test.go
+++ b/cmd/hatchplank-node/poison_request_test.go
@@ -84,8 +84,8 @@
 	}
 	var nodes []string
 	for _, name := range []string{"x", "y", "z"} {
-		callers, _ := d.start(t, name)
-		nodes = append(nodes, callers)
+		url, _ := d.start(t, name)
+		nodes = append(nodes, url)
 	}
 	const crashesToQuarantine, maxFurtherCrashes = 3, 3
 	totalCrashes := func() int {
--- a/cmd/hatchplank-node/restore_test.go
+++ b/cmd/hatchplank-node/restore_test.go
@@ -79,8 +79,8 @@
 // load.
 func (d *deployment) startThree(t *testing.T) (nodes []string) {
 	for _, name := range []string{"x", "y", "z"} {
-		callers, _ := d.start(t, name)
-		nodes = append(nodes, callers)
+		url, _ := d.start(t, name)
+		nodes = append(nodes, url)
 	}
 	for _, node := range nodes {
 		Eventually(func() int { return standin.Post(node, "/s/x", "b") }, "30s").Should(Equal(http.StatusOK))
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -208,8 +208,8 @@
 
 func TestTruncatedBodiesAreErrors(t *testing.T) {
 	cases := map[string]struct {
-		text  string
-		whole bool
+		text     string
+		complete bool
 	}{
 		"shorter than announced": {"HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\none", false},
 		"chunk cut":              {"HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\non", false},
@@ -227,7 +227,7 @@
 				response, err := client.Do(context.Background(), requestFor("1"))
 				Expect(err).NotTo(HaveOccurred())
 				_, err = read(response)
-				Expect(err == nil).To(Equal(test.whole))
+				Expect(err == nil).To(Equal(test.complete))
 			})
 		})
 	}
