--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -116,13 +116,13 @@
 // Notice counts a response in which a server sent a notice about its own state.
 func (m *Metrics) Notice(kind notice.Kind) { m.count(metricNotices, "notice", string(kind)) }
 
-// SentDespiteNotice counts a request sent to a server whose notice had asked this node not to
-// send.
+// SentDespiteNotice counts a request, order or report sent to a server whose notice had asked
+// this node not to send.
 func (m *Metrics) SentDespiteNotice(kind notice.Kind) {
 	m.count(metricSentDespiteNotice, "notice", string(kind))
 }
 
-// SentToLimited counts a request sent to a server with a known rate limit.
+// SentToLimited counts a request, order or report sent to a server with a known rate limit.
 func (m *Metrics) SentToLimited(purpose notice.Purpose) {
 	m.count(metricSentToLimited, "purpose", string(purpose))
 }
--- a/internal/edge/process.go
+++ b/internal/edge/process.go
@@ -48,7 +48,7 @@
 	exitMargin = 400 * time.Millisecond
 	// headerTimeout is the time limit for reading a request's header.
 	headerTimeout = 10 * time.Second
-	// maxHeaderBytes is the maximum size of a request's header.
+	// maxHeaderBytes is the maximum size of a request's header in bytes.
 	maxHeaderBytes = 64 << 10
 	// minLoggedPause is the shortest pause of the process that is logged.
 	minLoggedPause = 500 * time.Millisecond
@@ -151,6 +151,7 @@
 	return p.serve(MetricsPage, metrics, p.settings.Listen.Metrics, failures)
 }
 
+// serve opens one address and serves it in the background. A later failure goes to failures.
 func (p *Process) serve(name Listener, server *http.Server, address string, failures chan<- error) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/edge/reload.go
+++ b/internal/edge/reload.go
@@ -58,12 +58,12 @@
 		logger.Error().Err(err).Msg("settings not reloaded; keeping the previous ones")
 		return current
 	}
-	previousLevel, unchanged := current.Log.Level, current
-	unchanged.Log.Level = next.Log.Level
+	previousLevel, withNewLevel := current.Log.Level, current
+	withNewLevel.Log.Level = next.Log.Level
 	if level, err := zerolog.ParseLevel(next.Log.Level); err == nil {
 		zerolog.SetGlobalLevel(level)
 	}
 	logger.Info().Str("level_before", previousLevel).Str("level", next.Log.Level).
-		Bool("needs_restart", unchanged != next).Msg("settings reloaded")
+		Bool("needs_restart", withNewLevel != next).Msg("settings reloaded")
 	return next
 }
