--- a/internal/api/administration_test.go
+++ b/internal/api/administration_test.go
@@ -57,8 +57,8 @@
 	go done(api.Status{Node: "a", Rows: []api.RowStatus{{Row: ownModel, Tenant: attica}, {Row: foreignModel, Tenant: ionia}}}, nil)
 }
 
-func (*fakeNode) Force(revision table.Revision, _ time.Duration, done func(api.Force, error)) {
-	go done(api.Force{Revision: revision, InForce: true}, nil)
+func (*fakeNode) RevisionStatus(revision table.Revision, _ time.Duration, done func(api.RevisionStatus, error)) {
+	go done(api.RevisionStatus{Revision: revision, InForce: true}, nil)
 }
 
 func (n *fakeNode) Drain()         { n.draining = true }
--- a/internal/api/nodestatus/collector.go
+++ b/internal/api/nodestatus/collector.go
@@ -75,9 +75,9 @@
 	return collector
 }
 
-// Force implements api.StatusSource; its time is bounded by the table store.
-func (c *Collector) Force(revision table.Revision, _ time.Duration, done func(api.Force, error)) {
-	c.Table.InForce(func(nodes []tablestore.NodeRevision) { done(api.NewForce(revision, nodes), nil) })
+// RevisionStatus implements api.StatusSource; its time is bounded by the table store.
+func (c *Collector) RevisionStatus(revision table.Revision, _ time.Duration, done func(api.RevisionStatus, error)) {
+	c.Table.InForce(func(nodes []tablestore.NodeRevision) { done(api.NewRevisionStatus(revision, nodes), nil) })
 }
 
 // Status implements api.StatusSource.
@@ -90,7 +90,7 @@
 	self := c.Members.Self()
 	status := api.Status{
 		Node: self.Name, Revision: c.Table.Revision(), Draining: self.Draining,
-		Silent: []string{}, Pools: []api.PoolStatus{}, Servers: []api.ServerStatus{},
+		Unreachable: []string{}, Pools: []api.PoolStatus{}, Servers: []api.ServerStatus{},
 		Members: []api.MemberStatus{}, Owners: c.owners(),
 	}
 	if c.Health != nil {
@@ -101,7 +101,7 @@
 	for _, part := range parts {
 		status.Members = append(status.Members, part.memberStatus())
 		if !part.known {
-			status.Silent = append(status.Silent, part.member.Name)
+			status.Unreachable = append(status.Unreachable, part.member.Name)
 			continue
 		}
 		status.Servers = append(status.Servers, part.reply.Servers...)
--- a/internal/api/nodestatus/nodestatus_test.go
+++ b/internal/api/nodestatus/nodestatus_test.go
@@ -106,7 +106,7 @@
 
 	It("puts the parts of all nodes together", func() {
 		status := collect()
-		Expect(status.Silent).To(BeEmpty())
+		Expect(status.Unreachable).To(BeEmpty())
 		Expect(status.Rows).To(HaveLen(3))
 		dossier := status.Rows[0]
 		Expect(dossier.Row).To(Equal("dossier"))
@@ -126,16 +126,16 @@
 	It("names the nodes that do not answer", func() {
 		processes[2].Pause()
 		status := collect()
-		Expect(status.Silent).To(Equal([]string{"c"}))
+		Expect(status.Unreachable).To(Equal([]string{"c"}))
 		Expect(status.Rows[0].Waiting).To(Equal(3))
 		Expect(status.Members).To(HaveLen(3))
 	})
 
 	It("tells whether a revision is in force", func() {
-		var force api.Force
-		collectors[0].Force(8, time.Second, func(f api.Force, _ error) { force = f })
+		var force api.RevisionStatus
+		collectors[0].RevisionStatus(8, time.Second, func(f api.RevisionStatus, _ error) { force = f })
 		Expect(force.InForce).To(BeFalse())
-		collectors[0].Force(7, time.Second, func(f api.Force, _ error) { force = f })
+		collectors[0].RevisionStatus(7, time.Second, func(f api.RevisionStatus, _ error) { force = f })
 		Expect(force.InForce).To(BeTrue())
 	})
 })
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -15,14 +15,14 @@
 	Node     string         `json:"node"`
 	Revision table.Revision `json:"revision"`
 	Draining bool           `json:"draining"`
-	// Silent nodes did not answer: what they hold is missing.
-	Silent   []string       `json:"silent"`
-	Rows     []RowStatus    `json:"rows"`
-	Pools    []PoolStatus   `json:"pools"`
-	Servers  []ServerStatus `json:"servers"`
-	Members  []MemberStatus `json:"members"`
-	Owners   []OwnerStatus  `json:"owners"`
-	Platform PlatformHealth `json:"platform"`
+	// Unreachable nodes did not answer: what they hold is missing.
+	Unreachable []string       `json:"silent"`
+	Rows        []RowStatus    `json:"rows"`
+	Pools       []PoolStatus   `json:"pools"`
+	Servers     []ServerStatus `json:"servers"`
+	Members     []MemberStatus `json:"members"`
+	Owners      []OwnerStatus  `json:"owners"`
+	Platform    PlatformHealth `json:"platform"`
 }
 
 // RowStatus is the state of one row.
@@ -103,8 +103,8 @@
 	Detail      string    `json:"detail,omitempty"`
 }
 
-// Force tells which nodes act on a revision.
-type Force struct {
+// RevisionStatus tells which nodes act on a revision.
+type RevisionStatus struct {
 	Revision table.Revision `json:"revision"`
 	// InForce: every live node acts on the revision or a newer one.
 	InForce bool           `json:"in_force"`
@@ -115,8 +115,8 @@
 // the contract of package outside.
 type StatusSource interface {
 	Status(timeout time.Duration, done func(Status, error))
-	// Force asks the live nodes which revision they act on.
-	Force(revision table.Revision, timeout time.Duration, done func(Force, error))
+	// RevisionStatus asks the live nodes which revision they act on.
+	RevisionStatus(revision table.Revision, timeout time.Duration, done func(RevisionStatus, error))
 }
 
 func (a *API) getStatus(c *call) {
@@ -157,8 +157,8 @@
 		return
 	}
 	timeout := a.config.Limits.AdminTimeout
-	force, err := await(c.request.Context(), timeout, func(done func(Force, error)) {
-		a.config.Status.Force(table.Revision(revision), timeout, done)
+	force, err := await(c.request.Context(), timeout, func(done func(RevisionStatus, error)) {
+		a.config.Status.RevisionStatus(table.Revision(revision), timeout, done)
 	})
 	if err != nil {
 		c.refuse(refusalOfRead(err))
--- a/internal/api/stored_table.go
+++ b/internal/api/stored_table.go
@@ -233,10 +233,10 @@
 	return tenant == "" || (known && row.Tenant == tenant)
 }
 
-// NewForce says whether a revision is in force, from what all nodes answered. A
+// NewRevisionStatus says whether a revision is in force, from what all nodes answered. A
 // node that did not answer counts as one that acts on no table.
-func NewForce(revision table.Revision, nodes []tablestore.NodeRevision) Force {
-	force := Force{Revision: revision, InForce: len(nodes) > 0, Members: []MemberStatus{}}
+func NewRevisionStatus(revision table.Revision, nodes []tablestore.NodeRevision) RevisionStatus {
+	force := RevisionStatus{Revision: revision, InForce: len(nodes) > 0, Members: []MemberStatus{}}
 	for _, node := range nodes {
 		acts := node.Revision
 		if !node.Known {
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -57,8 +57,8 @@
 // printStatus prints one table a kind of thing.
 func printStatus(output io.Writer, status api.Status, now time.Time) error {
 	fmt.Fprintf(output, "node %s, table revision %d%s\n", status.Node, status.Revision, suffixIf(status.Draining, ", draining"))
-	if len(status.Silent) > 0 {
-		fmt.Fprintf(output, "no answer, so what they hold is missing: %s\n", strings.Join(status.Silent, ", "))
+	if len(status.Unreachable) > 0 {
+		fmt.Fprintf(output, "no answer, so what they hold is missing: %s\n", strings.Join(status.Unreachable, ", "))
 	}
 	sections := []struct {
 		title  string
--- a/internal/command/status_test.go
+++ b/internal/command/status_test.go
@@ -46,7 +46,7 @@
 		}
 		drained = drained || request.URL.Path == "/admin/v1/drain"
 		_ = json.NewEncoder(writer).Encode(api.Status{
-			Node: "node-1", Revision: 7, Silent: []string{"node-3"},
+			Node: "node-1", Revision: 7, Unreachable: []string{"node-3"},
 			Rows: []api.RowStatus{{Row: "dossier", Tenant: "attica", MinReplicas: 1, MaxReplicas: 4, Waiting: 3, Replicas: []api.ReplicaStatus{
 				{Server: "glossa-04", Phase: "ready", Reason: "waiting requests"}, {Slot: 1, Server: "glossa-05", Phase: "loading"},
 			}}},
--- a/internal/command/table_client.go
+++ b/internal/command/table_client.go
@@ -109,8 +109,8 @@
 	return document, err
 }
 
-func (c tableClient) force(ctx context.Context, revision table.Revision) (api.Force, error) {
-	var force api.Force
+func (c tableClient) force(ctx context.Context, revision table.Revision) (api.RevisionStatus, error) {
+	var force api.RevisionStatus
 	err := c.getJSON(ctx, fmt.Sprintf("%s/force?revision=%d", tablePath, revision), &force)
 	return force, err
 }
--- a/internal/command/table_test.go
+++ b/internal/command/table_test.go
@@ -77,10 +77,10 @@
 
 func (m *memoryTable) Status(_ time.Duration, done func(api.Status, error)) { done(api.Status{}, nil) }
 
-func (m *memoryTable) Force(revision table.Revision, _ time.Duration, done func(api.Force, error)) {
+func (m *memoryTable) RevisionStatus(revision table.Revision, _ time.Duration, done func(api.RevisionStatus, error)) {
 	m.forceAsked++
 	inForce := m.forceAsked > 1
-	done(api.Force{Revision: revision, InForce: inForce, Members: []api.MemberStatus{{Name: "node-2", Revision: 1}}}, nil)
+	done(api.RevisionStatus{Revision: revision, InForce: inForce, Members: []api.MemberStatus{{Name: "node-2", Revision: 1}}}, nil)
 }
 
 // noGateway refuses every request; the table's commands send none.
--- a/internal/command/table_wait.go
+++ b/internal/command/table_wait.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func membersBehind(force api.Force, revision table.Revision) string {
+func membersBehind(force api.RevisionStatus, revision table.Revision) string {
 	var names []string
 	for _, member := range force.Members {
 		if member.Revision < revision {
