--- a/internal/api/last_listener_linux_test.go
+++ b/internal/api/backlog_listener_linux_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// TestLastListener checks that connections made before Close are handed out
-// after it, and that none can be made then.
-func TestLastListener(t *testing.T) {
+// TestBacklogListener checks that connections established before Close are accepted after
+// it, and that no new ones can be established then.
+func TestBacklogListener(t *testing.T) {
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	listener := acceptLast(plain)
+	listener := acceptBacklog(plain)
 	address := plain.Addr().String()
 	const waiting = 3
 	for range waiting {
@@ -40,7 +40,7 @@
 		_ = connection.Close()
 	}
 	if _, err := listener.Accept(); err == nil {
-		t.Fatal("accepted a connection that was not there")
+		t.Fatal("accepted a connection that was never established")
 	}
 	if connection, err := net.Dial("tcp", address); err == nil {
 		_ = connection.Close()
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -12,47 +12,48 @@
 const (
 	readHeaderTimeout = 10 * time.Second
 	idleTimeout       = 2 * time.Minute
-	// hardHeaderFactor times Limits.HeaderBytes end a connection while its
-	// headers are being read; up to there, larger headers get a numbered error.
-	hardHeaderFactor = 4
+	// maxHeaderFactor times Limits.HeaderBytes is the size of headers at which net/http
+	// ends the connection. Smaller ones above Limits.HeaderBytes get an error with a
+	// result code.
+	maxHeaderFactor = 4
 )
 
-// NewServer returns a server with the limits that the interface needs. Bodies
-// and answers have deadlines of their own, set by the handlers.
+// NewServer returns an HTTP server with limits for headers and idle connections. The
+// deadlines of bodies and responses are set by the handlers.
 func NewServer(handler http.Handler, limits Limits) *http.Server {
 	return &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    hardHeaderFactor * limits.withDefaults().HeaderBytes,
+		MaxHeaderBytes:    maxHeaderFactor * limits.withDefaults().HeaderBytes,
 	}
 }
 
-// ServeOptions tell how to serve.
+// ServeOptions are the options of Serve.
 type ServeOptions struct {
-	// TLS configuration; nil: plain HTTP.
+	// TLS is the server's TLS configuration; nil: plain HTTP.
 	TLS *tls.Config
-	// Grace that requests in progress have once the context has ended.
+	// Grace is the time that requests in progress have to finish once shutdown begins.
 	Grace  time.Duration
 	Limits Limits
 }
 
-// Serve serves the handler on the listener until the context ends, callers use
-// no kept connection any more, and requests in progress have finished. An error means that serving failed or that the
-// grace period cut off a request.
+// Serve serves the handler on the listener until the context ends. It then waits until
+// callers no longer use keep-alive connections, and for requests in progress. An error means
+// that serving failed or that requests were cut off at the end of the grace period.
 func Serve(ctx context.Context, listener net.Listener, handler http.Handler, options ServeOptions) error {
 	server := NewServer(handler, options.Limits)
 	server.TLSConfig = options.TLS
 	connections := newIdleConnections()
 	server.ConnState = connections.observe
 	stopped := make(chan error, 1)
-	release := context.AfterFunc(ctx, func() {
+	cancelShutdown := context.AfterFunc(ctx, func() {
 		connections.awaitQuiet(context.Background())
 		stopped <- shutDown(server, options.Grace)
 	})
-	err := serveListener(server, acceptLast(listener))
+	err := serveListener(server, acceptBacklog(listener))
 	if !errors.Is(err, http.ErrServerClosed) {
-		release()
+		cancelShutdown()
 		return err
 	}
 	return <-stopped
