--- a/internal/api/admin_table.go
+++ b/internal/api/admin_table.go
@@ -16,25 +16,25 @@
 	maxHistoryLimit     = 1000
 )
 
-// RevisionDocument is the answer to an accepted edit.
+// RevisionDocument is the response to an accepted edit.
 type RevisionDocument struct {
 	Revision table.Revision `json:"revision"`
 }
 
-// ConflictDocument refuses an edit whose base is no longer the newest table.
+// ConflictDocument is the response to an edit whose base is not the newest revision.
 type ConflictDocument struct {
 	Error ErrorBody `json:"error"`
-	// Revision is the newest one.
+	// Revision is the newest revision of the table.
 	Revision table.Revision `json:"revision"`
-	// Conflicts are the values that both edits changed, differently; none when
-	// the edits can be merged.
+	// Conflicts are the values that both sides changed since the base, to different
+	// values; empty when the edits can be merged.
 	Conflicts []table.Conflict `json:"conflicts"`
-	// Mine and Theirs are all changes of either side since the base.
+	// Mine are the changes of the rejected edit, Theirs those accepted since its base.
 	Mine   []table.RowChange `json:"mine"`
 	Theirs []table.RowChange `json:"theirs"`
 }
 
-// ProblemsDocument refuses a table that breaks rules.
+// ProblemsDocument is the response to a table that violates validation rules.
 type ProblemsDocument struct {
 	Error    ErrorBody       `json:"error"`
 	Problems []table.Problem `json:"problems"`
@@ -45,15 +45,16 @@
 	Entries []HistoryEntry `json:"entries"`
 }
 
-// scope is the tenant whose rows the principal may manage; empty: all.
-func scope(principal auth.Principal) string {
+// managedTenant returns the tenant whose rows the principal may manage, or the empty
+// string for all tenants.
+func managedTenant(principal auth.Principal) string {
 	if principal.Role == auth.RoleAdmin {
 		return ""
 	}
 	return principal.Tenant
 }
 
-// getTable sends the rows the principal may see.
+// getTable sends the rows that the principal may manage.
 func (a *API) getTable(c *call) {
 	format := table.Format(orDefault(c.request.URL.Query().Get("format"), string(table.FormatJSON)))
 	snapshot := a.config.TableStore.Snapshot()
@@ -66,7 +67,7 @@
 	header.Set("Content-Type", format.ContentType())
 	header.Set("ETag", formatETag(snapshot.Revision()))
 	c.commit()
-	// A failed write means that the operator is gone.
+	// A failed write means that the client has disconnected.
 	_, _ = c.writer.Write(body)
 }
 
@@ -83,7 +84,8 @@
 	return rows
 }
 
-// putTable writes the rows the principal manages, if nobody wrote in between.
+// putTable replaces the rows that the principal manages, provided that the table is still
+// at the revision of If-Match.
 func (a *API) putTable(c *call) {
 	base, refusal := parseIfMatch(c.request.Header)
 	if refusal != nil {
@@ -109,10 +111,10 @@
 		c.refuse(*refusal)
 		return
 	}
-	a.propose(c, TableEdit{Base: base, Tenant: scope(c.principal), Rows: document.Rows, Author: author(c.principal)})
+	a.propose(c, TableEdit{Base: base, Tenant: managedTenant(c.principal), Rows: document.Rows, Author: author(c.principal)})
 }
 
-// checkTenants refuses rows that the principal doesn't manage.
+// checkTenants returns a refusal if the principal does not manage one of the rows.
 func checkTenants(rows []table.Row, principal auth.Principal) *result.Refusal {
 	for _, row := range rows {
 		if !principal.Manages(row.Tenant) {
@@ -122,7 +124,8 @@
 	return nil
 }
 
-// author names a principal in the history; tokens have no names.
+// author returns the name of a principal in the history: its tenant and role, because
+// tokens have no names.
 func author(principal auth.Principal) string {
 	if principal.Tenant == "" {
 		return principal.Role.String()
@@ -178,7 +181,7 @@
 	return `"` + strconv.FormatInt(int64(revision), 10) + `"`
 }
 
-// parseIfMatch reads the revision an edit is based on.
+// parseIfMatch reads the revision that an edit is based on.
 func parseIfMatch(header http.Header) (table.Revision, *result.Refusal) {
 	values := header.Values("If-Match")
 	if len(values) == 0 {
@@ -199,7 +202,7 @@
 	}
 	timeout := a.config.Limits.AdminTimeout
 	entries, err := await(c.request.Context(), timeout, func(done func([]HistoryEntry, error)) {
-		a.config.TableStore.History(scope(c.principal), int(limit), timeout, done)
+		a.config.TableStore.History(managedTenant(c.principal), int(limit), timeout, done)
 	})
 	if err != nil {
 		c.refuse(refusalOfRead(err))
@@ -208,20 +211,22 @@
 	c.answer(http.StatusOK, HistoryDocument{Entries: append([]HistoryEntry{}, entries...)})
 }
 
-// parseWholeNumber reads a query parameter from 1 to the largest.
-func parseWholeNumber(request *http.Request, name string, fallback, largest int64) (int64, *result.Refusal) {
+// parseWholeNumber reads a query parameter in the range from 1 to maximum; it returns
+// fallback if the parameter is absent.
+func parseWholeNumber(request *http.Request, name string, fallback, maximum int64) (int64, *result.Refusal) {
 	text := request.URL.Query().Get(name)
 	if text == "" {
 		return fallback, nil
 	}
 	number, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || number < 1 || number > largest {
-		return 0, refuse(result.MalformedRequest, "%s must be a whole number from 1 to %d", name, largest)
+	if err != nil || number < 1 || number > maximum {
+		return 0, refuse(result.MalformedRequest, "%s must be a whole number from 1 to %d", name, maximum)
 	}
 	return number, nil
 }
 
-// refusalOfRead is for calls that change nothing whatever becomes of them.
+// refusalOfRead converts the error of a read-only call. Unlike refusalOfError it never
+// reports an unknown outcome, because a read changes nothing.
 func refusalOfRead(err error) result.Refusal {
 	var refusal result.Refusal
 	if errors.As(err, &refusal) {
--- a/internal/api/administration.go
+++ b/internal/api/administration.go
@@ -17,14 +17,14 @@
 
 // TableEdit is a conditional write of the table.
 type TableEdit struct {
-	// Base is the revision the edit was made on.
+	// Base is the revision that the edit is based on.
 	Base table.Revision
-	// Tenant whose rows are replaced; the rows of others are kept. Empty: all
-	// rows are replaced.
+	// Tenant whose rows are replaced; rows of other tenants are kept. If it is
+	// empty, all rows are replaced.
 	Tenant string
-	// Rows after the edit, of the tenant or of all.
+	// Rows of the tenant, or of all tenants, after the edit.
 	Rows []table.Row
-	// Author is kept in the history.
+	// Author is recorded in the history.
 	Author string
 }
 
@@ -36,14 +36,14 @@
 	Changes  []table.RowChange `json:"changes"`
 }
 
-// TableConflictError says that the table was changed after an edit's base.
+// TableConflictError reports that the table has changed since an edit's base.
 type TableConflictError struct {
 	// Current is the newest revision.
 	Current table.Revision
-	// Conflicts are the values that both changed, differently.
+	// Conflicts are the values that both sides changed to different values.
 	Conflicts []table.Conflict
-	// Mine and Theirs are all changes of either side since the base; empty if
-	// the base is no longer known.
+	// Mine are the changes of the rejected edit, Theirs those accepted since its
+	// base; both are empty if the base is no longer cached.
 	Mine, Theirs []table.RowChange
 }
 
@@ -53,22 +53,23 @@
 // TableStore reads and edits the durable table. Done callbacks follow the
 // contract of package outside.
 type TableStore interface {
-	// Snapshot returns the newest table known here.
+	// Snapshot returns the newest table that this node has.
 	Snapshot() *table.Snapshot
 	// Propose writes an edit and returns its revision once it is durable.
 	// Errors: *TableConflictError, *table.InvalidError, outside.ErrNotApplied,
 	// outside.ErrAmbiguous, result.Refusal.
 	Propose(edit TableEdit, timeout time.Duration, done func(table.Revision, error))
-	// History returns the newest entries first; with a tenant, only changes of
-	// its rows.
+	// History returns up to limit entries, newest first. If tenant is not empty,
+	// they hold only changes of its rows.
 	History(tenant string, limit int, timeout time.Duration, done func([]HistoryEntry, error))
 }
 
-// Drainer stops the node in order.
+// Drainer starts the planned shutdown of the node.
 type Drainer interface {
-	// Drain refuses new work, lets what runs finish and hands over the node's
-	// roles; the process ends afterwards. Repeated calls change nothing.
+	// Drain makes the node refuse new work, finish requests in progress, hand over
+	// its roles, and exit. It is idempotent.
 	Drain()
+	// Draining reports whether Drain has been called.
 	Draining() bool
 }
 
@@ -80,7 +81,7 @@
 		a.route(router, http.MethodGet, "/admin/v1/table/history", auth.RoleOperator, a.getHistory)
 	}
 	if a.config.Status != nil {
-		a.route(router, http.MethodGet, "/admin/v1/table/force", auth.RoleOperator, a.getForce)
+		a.route(router, http.MethodGet, "/admin/v1/table/force", auth.RoleOperator, a.getRevisionStatus)
 		a.route(router, http.MethodGet, "/admin/v1/status", auth.RoleOperator, a.getStatus)
 	}
 	if a.config.Drainer != nil {
@@ -109,16 +110,16 @@
 	router.HandleFunc(path, a.handle(path, role, serve)).Methods(method)
 }
 
-// stateDocument is the answer of health, readiness and drain.
+// stateDocument is the response of the health, readiness and drain endpoints.
 type stateDocument struct {
 	State  string `json:"state"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// getHealth tells that the process serves at all.
+// getHealth is the liveness check: it succeeds whenever the process serves HTTP.
 func (a *API) getHealth(c *call) { c.answer(http.StatusOK, stateDocument{State: "ok"}) }
 
-// getReadiness tells whether new work should be sent here.
+// getReadiness is the readiness check: it fails while the node starts or drains.
 func (a *API) getReadiness(c *call) {
 	if a.draining() {
 		c.answer(http.StatusServiceUnavailable, stateDocument{State: "draining"})
@@ -134,21 +135,23 @@
 }
 
 func (a *API) postDrain(c *call) {
-	a.config.Logger.Info().Str("request", c.id).Msg("drain asked for by the administration")
+	a.config.Logger.Info().Str("request", c.id).Msg("drain requested through the administration API")
 	a.config.Drainer.Drain()
 	c.answer(http.StatusAccepted, stateDocument{State: "draining"})
 }
 
-// reply is what a done callback was called with.
+// reply holds the arguments of a done callback.
 type reply[T any] struct {
 	value T
 	err   error
 }
 
-// errNoReply means that a call outlived both its timeout and the wait for it.
+// errNoReply means that a done callback was not called within the timeout of await, or
+// before the HTTP request was cancelled.
 var errNoReply = errors.New("no reply in time")
 
-// await starts an asynchronous call and waits for its done callback.
+// await starts an asynchronous call and waits for its done callback. It waits one second
+// longer than the call's own timeout, so that the call can still report its error.
 func await[T any](ctx context.Context, timeout time.Duration, start func(done func(T, error))) (T, error) {
 	replies := make(chan reply[T], 1)
 	start(func(value T, err error) { replies <- reply[T]{value, err} })
@@ -163,8 +166,8 @@
 	}
 }
 
-// refusalOfError turns an error of a store into what the operator sees. When
-// the outcome of a write is not known, the refusal says so.
+// refusalOfError converts an error of a table write to a refusal. If it is not known
+// whether the write took effect, the refusal says so.
 func refusalOfError(err error) result.Refusal {
 	var refusal result.Refusal
 	switch {
--- a/internal/api/administration_test.go
+++ b/internal/api/administration_test.go
@@ -28,7 +28,8 @@
 	modelsPath  = "/v1/models"
 )
 
-// fakeStore answers each proposal as told.
+// fakeStore is a TableStore that answers each proposal with the revision and the error that
+// the test sets, and records the edits and the tenants of history calls.
 type fakeStore struct {
 	snapshot *table.Snapshot
 	revision table.Revision
@@ -50,7 +51,7 @@
 	go done([]api.HistoryEntry{{Revision: table.Revision(limit), Author: "admin"}}, nil)
 }
 
-// fakeNode answers status, force and drain.
+// fakeNode is a StatusSource and a Drainer.
 type fakeNode struct{ draining bool }
 
 func (*fakeNode) Status(_ time.Duration, done func(api.Status, error)) {
@@ -89,7 +90,7 @@
 		return send(request, token)
 	}
 
-	DescribeTable("lets in by role", func(ctx SpecContext, method, path string, caller, operator, admin int) {
+	DescribeTable("authorizes by role", func(ctx SpecContext, method, path string, caller, operator, admin int) {
 		Expect(call(ctx, method, path, "", "").StatusCode).To(Equal(http.StatusUnauthorized))
 		Expect(call(ctx, method, path, "guess", "").StatusCode).To(Equal(http.StatusUnauthorized))
 		Expect(call(ctx, method, path, callerToken, "").StatusCode).To(Equal(caller))
@@ -106,7 +107,7 @@
 		Entry("drain", http.MethodPost, drainPath, 403, 403, 202),
 	)
 
-	DescribeTable("shows the rows of the principal in every format", func(ctx SpecContext, token string, format table.Format, rows int) {
+	DescribeTable("returns the rows that the principal manages in every format", func(ctx SpecContext, token string, format table.Format, rows int) {
 		response := call(ctx, http.MethodGet, tablePath+"?format="+string(format), token, "")
 		Expect(response.Header.Get("ETag")).To(Equal(`"7"`))
 		body, err := io.ReadAll(response.Body)
@@ -147,7 +148,7 @@
 		Expect(store.edits).To(BeEmpty())
 	})
 
-	It("lists every problem of a table's form", func(ctx SpecContext) {
+	It("lists every problem of a malformed table", func(ctx SpecContext) {
 		response := call(ctx, http.MethodPut, tablePath, adminToken, `{"rows":[{"name":"a","kind":"x"},{"colour":"red"}]}`, "If-Match", "7")
 		Expect(response.StatusCode).To(Equal(http.StatusUnprocessableEntity))
 		var document api.ProblemsDocument
@@ -156,7 +157,7 @@
 		Expect(document.Error.ResultCode).To(Equal(int(result.InvalidTable)))
 	})
 
-	DescribeTable("tells what became of a write", func(ctx SpecContext, err error, code result.Code, ran, within string) {
+	DescribeTable("reports the outcome of a write", func(ctx SpecContext, err error, code result.Code, ran, within string) {
 		store.err = err
 		response := call(ctx, http.MethodPut, tablePath, adminToken, `{"rows":[]}`, "If-Match", `"7"`)
 		body, readErr := io.ReadAll(response.Body)
@@ -186,13 +187,13 @@
 		Expect(errorOf(response).ResultCode).To(Equal(int(code)))
 		Expect(store.edits).To(BeEmpty())
 	},
-		Entry("no precondition", http.MethodPut, tablePath, `{"rows":[]}`, "", "application/json", result.PreconditionMissing),
-		Entry("any precondition", http.MethodPut, tablePath, `{"rows":[]}`, "*", "application/json", result.MalformedRequest),
+		Entry("no If-Match", http.MethodPut, tablePath, `{"rows":[]}`, "", "application/json", result.PreconditionMissing),
+		Entry("If-Match for any revision", http.MethodPut, tablePath, `{"rows":[]}`, "*", "application/json", result.MalformedRequest),
 		Entry("a negative revision", http.MethodPut, tablePath, `{"rows":[]}`, "-1", "application/json", result.MalformedRequest),
 		Entry("an unknown content type", http.MethodPut, tablePath, `{"rows":[]}`, "7", "text/html", result.Unsupported),
 		Entry("malformed JSON", http.MethodPut, tablePath, `{"rows":`, "7", "application/json", result.InvalidTable),
 		Entry("an unknown format", http.MethodGet, tablePath+"?format=xml", "", "", "", result.MalformedRequest),
-		Entry("a history without end", http.MethodGet, historyPath+"?limit=1001", "", "", "", result.MalformedRequest),
+		Entry("a history limit above the maximum", http.MethodGet, historyPath+"?limit=1001", "", "", "", result.MalformedRequest),
 		Entry("no revision", http.MethodGet, "/admin/v1/table/force", "", "", "", result.MalformedRequest),
 	)
 
@@ -206,7 +207,7 @@
 		Expect(status.Rows[0].Row).To(Equal(ownModel))
 	})
 
-	It("is ready until it is starting or draining", func(ctx SpecContext) {
+	It("is not ready while starting or draining", func(ctx SpecContext) {
 		Expect(call(ctx, http.MethodGet, "/readyz", "", "").StatusCode).To(Equal(http.StatusOK))
 		Expect(call(ctx, http.MethodPost, drainPath, adminToken, "").StatusCode).To(Equal(http.StatusAccepted))
 		Expect(call(ctx, http.MethodGet, "/readyz", "", "").StatusCode).To(Equal(http.StatusServiceUnavailable))
@@ -219,25 +220,25 @@
 		Expect(string(body)).To(ContainSubstring("no table yet"))
 	})
 
-	It("lets no connection be used again while it drains", func(ctx SpecContext) {
+	It("closes the connection after each response while it drains", func(ctx SpecContext) {
 		Expect(call(ctx, http.MethodGet, "/v1/models", callerToken, "").Close).To(BeFalse())
 		node.draining = true
 		Expect(call(ctx, http.MethodGet, "/v1/models", callerToken, "").Close).To(BeTrue())
 		Expect(call(ctx, http.MethodPost, "/v1/chat/completions", callerToken, "{").Close).To(BeTrue())
 	})
 
-	It("turns callers away until it was ready once", func(ctx SpecContext) {
-		unready := errors.New("no table yet")
-		config.Ready = func() error { return unready }
+	It("refuses callers until it has been ready once", func(ctx SpecContext) {
+		readiness := errors.New("no table yet")
+		config.Ready = func() error { return readiness }
 		server = startServer(config)
 		refused := call(ctx, http.MethodGet, "/v1/models", callerToken, "")
 		Expect(refused.StatusCode).To(Equal(http.StatusServiceUnavailable))
 		Expect(refused.Header.Get("X-Result-Code")).To(Equal("2010"))
 		Expect(refused.Header.Get("X-Ran")).To(Equal("no"))
 		Expect(call(ctx, http.MethodGet, statusPath, operatorToken, "").StatusCode).To(Equal(http.StatusOK))
-		unready = nil
+		readiness = nil
 		Expect(call(ctx, http.MethodGet, "/v1/models", callerToken, "").StatusCode).To(Equal(http.StatusOK))
-		unready = errors.New("the machine list is out")
+		readiness = errors.New("the machine list is unavailable")
 		Expect(call(ctx, http.MethodGet, "/v1/models", callerToken, "").StatusCode).To(Equal(http.StatusOK))
 	})
 })
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -16,13 +16,13 @@
 type API struct {
 	config  Config
 	metrics *telemetry.Metrics
-	// known is set once the node knew the table and the servers.
-	known atomic.Bool
-	// bodyBytes held by all requests in flight.
+	// wasReady is set once Config.Ready has succeeded.
+	wasReady atomic.Bool
+	// bodyBytes is the number of bytes reserved for the bodies of all requests in flight.
 	bodyBytes atomic.Int64
 }
 
-// New returns the handler of the whole interface.
+// New returns the HTTP handler of the caller and administration interfaces.
 func New(config Config) http.Handler {
 	config.Limits = config.Limits.withDefaults()
 	if config.Clock == nil {
--- a/internal/api/body.go
+++ b/internal/api/body.go
@@ -12,14 +12,16 @@
 )
 
 const (
-	// firstBodyBytes are allocated before a body is read; a body that claims to
-	// be larger gets more only as it arrives.
-	firstBodyBytes = 32 << 10
-	// budgetRetryAfter is when a caller refused for want of memory may try again.
-	budgetRetryAfter = time.Second
+	// initialBodyBytes is the most that is allocated before a body is read. The buffer
+	// grows only as data arrives, whatever length the headers declare.
+	initialBodyBytes = 32 << 10
+	// bodyBudgetRetryAfter is the Retry-After of requests refused because the budget
+	// for bodies is exhausted.
+	bodyBudgetRetryAfter = time.Second
 )
 
-// readBody reads the whole body within the limits of size, memory and time.
+// readBody reads the whole body within the limits of size, memory and time. A body without
+// declared length reserves the maximum size until it has been read.
 func (a *API) readBody(c *call) ([]byte, *result.Refusal) {
 	limit := a.config.Limits.BodyBytes
 	expected := c.request.ContentLength
@@ -34,7 +36,7 @@
 	}
 	if !a.reserveBody(c, expected) {
 		refusal := refuse(result.QueueFull, "the node holds as many bodies as it can")
-		refusal.RetryAfter = budgetRetryAfter
+		refusal.RetryAfter = bodyBudgetRetryAfter
 		return nil, refusal
 	}
 	return a.receiveBody(c, expected)
@@ -42,13 +44,13 @@
 
 func (a *API) receiveBody(c *call, expected int64) ([]byte, *result.Refusal) {
 	connection := http.NewResponseController(c.writer)
-	// Not every writer has deadlines (tests' recorders have none); the request
-	// then is bounded by size alone.
+	// Not every ResponseWriter supports deadlines (httptest's recorder does not); such
+	// a request is limited by size only.
 	_ = connection.SetReadDeadline(time.Now().Add(a.config.Limits.BodyTimeout))
 	defer func() { _ = connection.SetReadDeadline(time.Time{}) }()
 
 	var buffer bytes.Buffer
-	buffer.Grow(int(min(expected, firstBodyBytes)))
+	buffer.Grow(int(min(expected, initialBodyBytes)))
 	_, err := io.Copy(&buffer, http.MaxBytesReader(c.writer, c.request.Body, a.config.Limits.BodyBytes))
 	if err != nil {
 		return nil, a.bodyRefusal(err)
@@ -69,26 +71,27 @@
 	}
 }
 
-// reserveBody takes bytes from the budget of all bodies held at once.
+// reserveBody reserves bytes in the node's budget for bodies and reports whether they were
+// available.
 func (a *API) reserveBody(c *call, bytes int64) bool {
 	if a.bodyBytes.Add(bytes) > a.config.Limits.TotalBodyBytes {
 		a.bodyBytes.Add(-bytes)
 		return false
 	}
-	c.heldBytes = bytes
+	c.reservedBodyBytes = bytes
 	a.metrics.BodyBytes.Add(float64(bytes))
 	return true
 }
 
-// shrinkBody gives back what the body did not need.
+// shrinkBody returns the part of the call's reservation that exceeds needed.
 func (a *API) shrinkBody(c *call, needed int64) {
-	excess := c.heldBytes - needed
+	excess := c.reservedBodyBytes - needed
 	if excess <= 0 {
 		return
 	}
 	a.bodyBytes.Add(-excess)
 	a.metrics.BodyBytes.Sub(float64(excess))
-	c.heldBytes = needed
+	c.reservedBodyBytes = needed
 }
 
 func (a *API) releaseBody(c *call) { a.shrinkBody(c, 0) }
--- a/internal/api/call.go
+++ b/internal/api/call.go
@@ -12,44 +12,44 @@
 	"github.com/hatchplank/hatchplank/internal/telemetry"
 )
 
-// readinessPause is when callers may try again at a node that has just started.
-const readinessPause = time.Second
+// notReadyRetryAfter is the Retry-After of requests refused while the node starts.
+const notReadyRetryAfter = time.Second
 
-// call is one HTTP request on its way through the interface.
+// call is the state of one HTTP request.
 type call struct {
 	writer    http.ResponseWriter
 	request   *http.Request
 	id        string
 	principal auth.Principal
-	// arrived is when the headers had been read; deadlines count from it.
+	// arrived is the time when the headers had been read; deadlines are relative to it.
 	arrived time.Time
-	// path is the interface's path, without what callers put into it.
+	// path names the route in metrics and logs; it has none of the callers' values.
 	path string
-	// committed: the status line has been sent.
+	// committed is true once the headers have been or are about to be sent.
 	committed bool
-	// draining tells whether the node is being stopped; nil: never.
+	// draining reports whether the node is shutting down; nil means never.
 	draining func() bool
-	// heldBytes were taken from the budget of bodies.
-	heldBytes int64
-	outcome   result.Code
+	// reservedBodyBytes is this call's share of API.bodyBytes.
+	reservedBodyBytes int64
+	outcome           result.Code
 }
 
-// refuse ends the call with a whole response.
+// refuse completes the call with an error response.
 func (c *call) refuse(refusal result.Refusal) {
 	c.outcome = refusal.Code
 	c.commit()
 	writeRefusal(c.writer, refusal, c.id)
 }
 
-// answer ends the call with a JSON document.
+// answer completes the call with a JSON document.
 func (c *call) answer(status int, document any) {
 	c.commit()
 	writeJSON(c.writer, status, document)
 }
 
-// commit is called before the headers are sent. The connections of a node that
-// is being stopped are not used again: one that is idle at the end would be
-// closed while its next request is on the way.
+// commit is called before the headers are sent. While the node drains, it makes every
+// response close its connection: a keep-alive connection that is idle at shutdown would be
+// closed while the caller's next request is in transit.
 func (c *call) commit() {
 	c.committed = true
 	if c.draining != nil && c.draining() {
@@ -57,8 +57,8 @@
 	}
 }
 
-// handle turns a function over calls into a handler that needs the role. A
-// role of zero lets everyone in.
+// handle returns an HTTP handler that calls serve for principals with the role. Role 0
+// requires no authentication.
 func (a *API) handle(path string, role auth.Role, serve func(*call)) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		current := &call{
@@ -70,9 +70,9 @@
 		}
 		writer.Header().Set(headerRequestID, current.id)
 		a.metrics.InFlight.Inc()
-		defer a.end(current)
+		defer a.finish(current)
 		defer a.recover(current)
-		if refusal := a.admit(current, role); refusal != nil {
+		if refusal := a.authorize(current, role); refusal != nil {
 			current.refuse(*refusal)
 			return
 		}
@@ -80,8 +80,9 @@
 	}
 }
 
-// admit checks the size of the headers and who calls.
-func (a *API) admit(c *call, role auth.Role) *result.Refusal {
+// authorize checks the size of the headers, the token and the role, and for callers also
+// whether the node is ready.
+func (a *API) authorize(c *call, role auth.Role) *result.Refusal {
 	if size := headerSize(c.request.Header); size > a.config.Limits.HeaderBytes {
 		return refuse(result.HeadersTooLarge, "the headers have %d bytes; the limit is %d", size, a.config.Limits.HeaderBytes)
 	}
@@ -102,33 +103,35 @@
 	return nil
 }
 
-// draining reports whether the node is being stopped.
+// draining reports whether the node is shutting down.
 func (a *API) draining() bool { return a.config.Drainer != nil && a.config.Drainer.Draining() }
 
-// refuseUntilReady turns callers away from a node that has just started: it
-// would take their models and pools for unknown. A node that is draining or has
-// lost the platform's services later decides by itself.
+// refuseUntilReady refuses callers until the node has been ready once. Before that it has
+// not loaded the table and the servers and would report existing models and pools as
+// unknown. A node that drains, or loses the platform's services after it was ready, still
+// accepts calls here; whether it can serve them is decided for each request.
 func (a *API) refuseUntilReady() *result.Refusal {
-	if a.known.Load() || a.config.Ready == nil || a.draining() {
+	if a.wasReady.Load() || a.config.Ready == nil || a.draining() {
 		return nil
 	}
 	if err := a.config.Ready(); err != nil {
 		refusal := result.Refuse(result.NodeNotReady, "the node has just started: %v", err)
-		refusal.RetryAfter = readinessPause
+		refusal.RetryAfter = notReadyRetryAfter
 		return &refusal
 	}
-	a.known.Store(true)
+	a.wasReady.Store(true)
 	return nil
 }
 
-// recover answers a panic; the node goes on.
+// recover converts a panic of a handler to an internal error, so that the process keeps
+// running.
 func (a *API) recover(c *call) {
-	fault := recover()
-	if fault == nil {
+	recovered := recover()
+	if recovered == nil {
 		return
 	}
 	a.metrics.Panics.Inc()
-	a.config.Logger.Error().Str("request", c.id).Interface("fault", fault).Bytes("stack", debug.Stack()).Msg("handler failed")
+	a.config.Logger.Error().Str("request", c.id).Interface("fault", recovered).Bytes("stack", debug.Stack()).Msg("handler panicked")
 	c.outcome = result.Internal
 	if !c.committed {
 		refusal := result.Refuse(result.Internal, "a fault inside the node")
@@ -137,8 +140,8 @@
 	}
 }
 
-// end returns what the call held, counts and logs it.
-func (a *API) end(c *call) {
+// finish releases the call's body reservation and records its metrics and log line.
+func (a *API) finish(c *call) {
 	a.releaseBody(c)
 	elapsed := a.config.Clock.Now().Sub(c.arrived)
 	a.metrics.InFlight.Dec()
@@ -150,9 +153,8 @@
 	}
 }
 
-// newRequestID makes an id that no other request has. A caller's own id
-// becomes its start, so that callers find their requests in the logs, but
-// can't make two requests be taken for one.
+// newRequestID returns a unique request ID. A valid ID from the caller becomes its prefix:
+// callers can find their requests in the logs, but two requests never share an ID.
 func newRequestID(header http.Header) string {
 	unique := uuid.NewString()
 	if given := header.Get(headerRequestID); isRequestID(given) {
--- a/internal/api/caller_test.go
+++ b/internal/api/caller_test.go
@@ -56,7 +56,7 @@
 		return request
 	}
 
-	DescribeTable("that can't be accepted get a numbered error and never reach the gateway", func(ctx SpecContext, input badInput) {
+	DescribeTable("that can't be accepted get an error with a result code and never reach the gateway", func(ctx SpecContext, input badInput) {
 		method := input.method
 		if method == "" {
 			method = http.MethodPost
@@ -104,7 +104,7 @@
 		Entry("an unknown token", badInput{path: chatPath, body: chatBody, token: "guess", code: result.Unauthenticated}),
 		Entry("a time limit that is a word", badInput{path: chatPath, body: chatBody, headers: map[string]string{"X-Time-Limit": "soon"}, code: result.BadDeadline}),
 		Entry("a negative time limit", badInput{path: chatPath, body: chatBody, headers: map[string]string{"X-Time-Limit": "-1s"}, code: result.BadDeadline}),
-		Entry("no time", badInput{path: chatPath, body: chatBody, headers: map[string]string{"X-Time-Limit": "0"}, code: result.BadDeadline}),
+		Entry("a time limit of zero", badInput{path: chatPath, body: chatBody, headers: map[string]string{"X-Time-Limit": "0"}, code: result.BadDeadline}),
 		Entry("a time limit that is not a number", badInput{path: chatPath, body: chatBody, headers: map[string]string{"X-Time-Limit": "NaN"}, code: result.BadDeadline}),
 		Entry("a time limit beyond any duration", badInput{path: chatPath, body: chatBody, headers: map[string]string{"X-Time-Limit": "1e300"}, code: result.BadDeadline}),
 		Entry("a time limit above the row's", badInput{path: chatPath, body: chatBody, headers: map[string]string{"X-Time-Limit": "61"}, code: result.BadDeadline}),
@@ -117,11 +117,11 @@
 		Entry("an unknown pool", badInput{path: "/v1/backends/nothing/enrol", code: result.UnknownPool}),
 		Entry("a pool without key", badInput{path: "/v1/backends/eggrafi/enrol", code: result.KeyRequired}),
 		Entry("a foreign tenant's pool", badInput{path: "/v1/backends/eggrafi/enrol", token: foreignToken, code: result.Forbidden}),
-		Entry("a closed path of a pool", badInput{path: "/v1/backends/eggrafi/control/faults", code: result.Forbidden}),
-		Entry("a path that only begins like an open one", badInput{path: "/v1/backends/eggrafi/enrolment", code: result.Forbidden}),
-		Entry("a path that climbs", badInput{path: "/v1/backends/eggrafi/enrol/../control", code: result.MalformedRequest}),
-		Entry("a path that climbs encoded", badInput{path: "/v1/backends/eggrafi/enrol/%2e%2e/control", code: result.MalformedRequest}),
-		Entry("a path that climbs by an encoded slash", badInput{path: "/v1/backends/eggrafi/enrol%2f..%2fcontrol", code: result.MalformedRequest}),
+		Entry("a path of a pool that is not allowed", badInput{path: "/v1/backends/eggrafi/control/faults", code: result.Forbidden}),
+		Entry("a path whose first segment only begins with an allowed one", badInput{path: "/v1/backends/eggrafi/enrolment", code: result.Forbidden}),
+		Entry("a path with a dot segment", badInput{path: "/v1/backends/eggrafi/enrol/../control", code: result.MalformedRequest}),
+		Entry("a path with an encoded dot segment", badInput{path: "/v1/backends/eggrafi/enrol/%2e%2e/control", code: result.MalformedRequest}),
+		Entry("a path with a dot segment between encoded slashes", badInput{path: "/v1/backends/eggrafi/enrol%2f..%2fcontrol", code: result.MalformedRequest}),
 	)
 
 	It("refuses a body without length that grows beyond the limit", func(ctx SpecContext) {
@@ -131,7 +131,7 @@
 		Expect(errorOf(send(request, callerToken)).ResultCode).To(Equal(int(result.BodyTooLarge)))
 	})
 
-	It("refuses bodies beyond the budget of the node and gives the budget back", func(ctx SpecContext) {
+	It("refuses bodies beyond the budget of the node and releases the budget", func(ctx SpecContext) {
 		config := testConfig(service)
 		config.Limits.TotalBodyBytes = int64(len(chatBody))
 		server = startServer(config)
@@ -143,7 +143,7 @@
 		Expect(errorOf(response).ResultCode).To(Equal(int(result.QueueFull)))
 	})
 
-	It("hands headers over and keeps the caller's id", func(ctx SpecContext) {
+	It("passes the options in headers to the gateway and keeps the caller's ID as a prefix", func(ctx SpecContext) {
 		request := newRequest(ctx, http.MethodPost, chatPath, keyedBody)
 		request.Header.Set("X-Time-Limit", "2.5")
 		request.Header.Set("X-Priority", "9")
@@ -160,7 +160,7 @@
 		Expect(response.Header.Get("X-Request-Id")).To(Equal(submitted.ID))
 	})
 
-	It("passes a pool's request and answer through", func(ctx SpecContext) {
+	It("passes a pool's request and response through", func(ctx SpecContext) {
 		service.serve = func(_ gateway.Request, responder gateway.Responder, _ <-chan struct{}) {
 			responder.Finish(gateway.Answer{Replayed: true, Response: outside.BackEndResponse{
 				Status: http.StatusCreated, ContentType: "text/plain", Body: []byte("seat 4"),
@@ -184,18 +184,18 @@
 		Expect(string(submitted.Body)).To(Equal("<xml/>"))
 	})
 
-	It("answers a fault inside with 5001 and goes on", func(ctx SpecContext) {
-		faulty := true
-		config := testConfig(faultyGateway{service: service, faulty: &faulty})
+	It("answers a panic with 5001 and keeps serving", func(ctx SpecContext) {
+		panics := true
+		config := testConfig(panickingGateway{service: service, panics: &panics})
 		server = startServer(config)
 		body := errorOf(send(newRequest(ctx, http.MethodPost, chatPath, chatBody), callerToken))
 		Expect(body.ResultCode).To(Equal(int(result.Internal)))
 		Expect(body.Ran).To(Equal("unknown"))
-		faulty = false
+		panics = false
 		Expect(send(newRequest(ctx, http.MethodPost, chatPath, chatBody), callerToken).StatusCode).To(Equal(http.StatusOK))
 	})
 
-	DescribeTable("that vanish are cancelled", func(ctx SpecContext, body string) {
+	DescribeTable("whose callers disconnect are cancelled", func(ctx SpecContext, body string) {
 		arrived := make(chan struct{})
 		service.serve = func(_ gateway.Request, responder gateway.Responder, cancelled <-chan struct{}) {
 			close(arrived)
@@ -215,7 +215,7 @@
 		Entry("while a stream is awaited", streamBody),
 	)
 
-	It("cuts off a caller that does not read its stream, and cancels its work", func(ctx SpecContext) {
+	It("cuts off a caller that does not read its stream and cancels the request", func(ctx SpecContext) {
 		started, stopped := make(chan struct{}), make(chan struct{})
 		service.serve = func(_ gateway.Request, responder gateway.Responder, cancelled <-chan struct{}) {
 			defer close(stopped)
@@ -247,15 +247,15 @@
 		close(started)
 		Eventually(ctx, service.cancelled).Should(Receive())
 		Eventually(ctx, stopped).Should(BeClosed())
-		everything, _ := io.ReadAll(connection)
-		Expect(string(everything)).NotTo(ContainSubstring("[DONE]"))
-		Expect(string(everything)).NotTo(HaveSuffix("\r\n0\r\n\r\n"))
+		remaining, _ := io.ReadAll(connection)
+		Expect(string(remaining)).NotTo(ContainSubstring("[DONE]"))
+		Expect(string(remaining)).NotTo(HaveSuffix("\r\n0\r\n\r\n"))
 		Eventually(ctx, func() string { return gatherText(config.Metrics) }).Should(
 			ContainSubstring(`hatchplank_http_requests_total{code="caller_too_slow",path="/v1/chat/completions"} 1`))
 	}, SpecTimeout(time.Minute))
 })
 
-// endless yields spaces.
+// endless is a reader of spaces without end.
 type endless struct{}
 
 func (endless) Read(buffer []byte) (int, error) {
@@ -265,14 +265,14 @@
 	return len(buffer), nil
 }
 
-// faultyGateway panics on demand.
-type faultyGateway struct {
+// panickingGateway panics in Submit while panics is true.
+type panickingGateway struct {
 	service gateway.Service
-	faulty  *bool
+	panics  *bool
 }
 
-func (f faultyGateway) Submit(request gateway.Request, responder gateway.Responder) func() {
-	if *f.faulty {
+func (f panickingGateway) Submit(request gateway.Request, responder gateway.Responder) func() {
+	if *f.panics {
 		panic("a defect")
 	}
 	return f.service.Submit(request, responder)
--- a/internal/api/client.go
+++ b/internal/api/client.go
@@ -12,28 +12,31 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxClientAnswerBytes bounds what a client reads of one answer.
+// maxClientAnswerBytes limits how much of one response body a client reads.
 const maxClientAnswerBytes = 64 << 20
 
-// Client calls a node's administration, as the command line does.
+// Client calls a node's administration interface; the command line uses it.
 type Client struct {
 	// BaseURL of the node, e.g. "http://127.0.0.1:8080".
 	BaseURL string
-	Token   string
-	// HTTP is the client to use; nil: http.DefaultClient.
+	// Token is the bearer token; empty: requests carry none.
+	Token string
+	// HTTP is the client to use; nil means http.DefaultClient.
 	HTTP *http.Client
 }
 
-// ResponseError is an answer that is no success.
+// ResponseError is a response with an error status.
 type ResponseError struct {
 	Status int
-	// Detail is empty when the answer was not written by a node.
+	// Detail is the error object; it is empty if the response has none, for example when
+	// it was not written by a node.
 	Detail ErrorBody
-	// Body of the answer, for what it holds besides Detail.
+	// Body is the whole response body, which may hold more than Detail.
 	Body []byte
 }
 
-// Error names the result code and the message.
+// Error returns the result code, its name and the message, or the status and the body if
+// the response has no result code.
 func (e *ResponseError) Error() string {
 	if e.Detail.ResultCode == 0 {
 		return fmt.Sprintf("status %d: %s", e.Status, bytes.TrimSpace(e.Body))
@@ -41,22 +44,22 @@
 	return fmt.Sprintf("%d %s: %s", e.Detail.ResultCode, e.Detail.Code, e.Detail.Message)
 }
 
-// Status reads what the node knows of the deployment.
+// Status reads the state of the deployment as the node collects it.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var status Status
 	_, err := c.call(ctx, http.MethodGet, "/admin/v1/status", &status)
 	return status, err
 }
 
-// Drain asks the node to stop in order.
+// Drain asks the node for a planned shutdown and returns once it has accepted.
 func (c *Client) Drain(ctx context.Context) error {
 	var state stateDocument
 	_, err := c.call(ctx, http.MethodPost, "/admin/v1/drain", &state)
 	return err
 }
 
-// Healthy reports whether the node's process answers; an error means that it
-// could not be reached.
+// Healthy checks the node's liveness. The error is nil if the process answers, otherwise a
+// *ResponseError or a transport error.
 func (c *Client) Healthy(ctx context.Context) error {
 	var state stateDocument
 	_, err := c.call(ctx, http.MethodGet, "/healthz", &state)
@@ -66,20 +69,20 @@
 func (c *Client) call(ctx context.Context, method, path string, into any) (http.Header, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.BaseURL+path, nil)
 	if err != nil {
-		return nil, eris.Wrap(err, "build request")
+		return nil, eris.Wrap(err, "create request")
 	}
 	header, body, err := c.Do(request)
 	if err != nil {
 		return nil, err
 	}
 	if err := json.Unmarshal(body, into); err != nil {
-		return nil, eris.Wrap(err, "the answer is not the JSON expected")
+		return nil, eris.Wrap(err, "decode response")
 	}
 	return header, nil
 }
 
-// Do sends a request with the token and returns the header and body of a
-// success. Any other answer is a *ResponseError.
+// Do sends a request with the token and returns the header and body of a successful
+// response. A status of 400 or above is returned as a *ResponseError.
 func (c *Client) Do(request *http.Request) (http.Header, []byte, error) {
 	if c.Token != "" {
 		request.Header.Set("Authorization", "Bearer "+c.Token)
@@ -95,7 +98,7 @@
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxClientAnswerBytes))
 	if err != nil {
-		return nil, nil, eris.Wrap(err, "read answer")
+		return nil, nil, eris.Wrap(err, "read response")
 	}
 	if response.StatusCode >= http.StatusBadRequest {
 		return nil, nil, newResponseError(response.StatusCode, body)
@@ -112,8 +115,8 @@
 	return failure
 }
 
-// NewClient returns a client of the node at the URL; a bare address such as
-// "127.0.0.1:8080" is taken for plain HTTP.
+// NewClient returns a client of the node at the URL. An address without a scheme, such as
+// "127.0.0.1:8080", is called by plain HTTP.
 func NewClient(url, token string, httpClient *http.Client) *Client {
 	if !strings.Contains(url, "://") {
 		url = "http://" + url
--- a/internal/api/collect.go
+++ b/internal/api/collect.go
@@ -8,10 +8,12 @@
 	"github.com/hatchplank/hatchplank/internal/result"
 )
 
-// collectResponder collects an answer that is sent as a whole.
+// collectResponder is a gateway.Responder that buffers an answer which is sent as one
+// response.
 type collectResponder struct {
 	// ended receives the ending once.
 	ended chan ending
+	// limit of the answer's text in bytes.
 	limit int
 
 	mutex  sync.Mutex
@@ -58,7 +60,7 @@
 	c.end(ending{refusal: &refusal})
 }
 
-// end is called with the mutex held; only the first ending counts.
+// end records the first ending and ignores later ones. The caller holds the mutex.
 func (c *collectResponder) end(last ending) {
 	if c.done {
 		return
@@ -67,7 +69,7 @@
 	c.ended <- last
 }
 
-// collected returns the text and the number of its pieces.
+// collected returns the text received so far and the number of its chunks.
 func (c *collectResponder) collected() (string, int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/api/config.go
+++ b/internal/api/config.go
@@ -1,4 +1,4 @@
-// Package api is the node's HTTP interface: the OpenAI-compatible interface of
+// Package api implements the node's HTTP interface: the OpenAI-compatible interface for
 // callers, the pass-through to other back ends, and the administration.
 package api
 
@@ -15,9 +15,9 @@
 	"github.com/hatchplank/hatchplank/internal/telemetry"
 )
 
-// Config is what the interface is built from. Gateway, Table and Keyring are
-// required. Without TableStore, Status or Drainer the paths that need them
-// answer unknown_path.
+// Config holds the dependencies and settings of the interface. Gateway, Table and Keyring
+// are required. Without TableStore, Status or Drainer, the paths that need them answer
+// unknown_path.
 type Config struct {
 	Gateway gateway.Service
 	Table   table.View
@@ -25,59 +25,61 @@
 	Clock   clock.Clock
 	Logger  zerolog.Logger
 	// Pools that callers may reach, by name.
-	Pools  map[string]Pool
+	Pools map[string]Pool
+	// Limits left zero take the value of DefaultLimits.
 	Limits Limits
 
 	TableStore TableStore
 	Status     StatusSource
 	Drainer    Drainer
-	// Ready returns why the node can't serve yet, or nil.
+	// Ready returns the reason why the node can't serve, or nil if it can. A nil function
+	// means always ready.
 	Ready func() error
-	// Gatherer of /metrics; nil: no metrics.
+	// Gatherer supplies the metrics of /metrics; nil: there is no such path.
 	Gatherer prometheus.Gatherer
 	// PublicMetrics serves /metrics without a token.
 	PublicMetrics bool
-	// Metrics counts the interface's own work; nil: not counted.
+	// Metrics receives the interface's own metrics; nil: they are discarded.
 	Metrics *telemetry.Metrics
 }
 
 // Pool is a group of back-end servers reached by pass-through.
 type Pool struct {
-	// Tenants that may call; empty: every tenant.
+	// Tenants that may call the pool; empty: every tenant.
 	Tenants []string
-	// PathPrefixes that may be called, by whole segments: "/enrol" opens /enrol
+	// PathPrefixes that may be called, matched by whole segments: "/enrol" allows /enrol
 	// and /enrol/4, but not /enrolment; empty: every path.
 	PathPrefixes []string
-	// TimeLimit is the longest time limit a caller may ask for, and the default.
+	// TimeLimit is both the default and the maximum time limit of a request.
 	TimeLimit time.Duration
-	// Repeatable says whether an attempt with unknown outcome may be repeated.
-	// Requests by GET and HEAD always are.
+	// Repeatable reports whether a request may be retried after an attempt with unknown
+	// outcome. GET and HEAD requests always may.
 	Repeatable bool
-	// Priority of requests that name none.
+	// Priority of requests without the priority header.
 	Priority int
 }
 
-// Limits bound what one caller can make the node hold.
+// Limits bound the memory and time that callers can make the node spend.
 type Limits struct {
-	// HeaderBytes of a request, names and values together.
+	// HeaderBytes limits the headers of a request, names and values together.
 	HeaderBytes int
-	// BodyBytes of one request.
+	// BodyBytes limits the body of one request.
 	BodyBytes int64
-	// TotalBodyBytes of all requests held at once.
+	// TotalBodyBytes limits the bodies of all requests in flight together.
 	TotalBodyBytes int64
-	// AnswerBytes of one answer that is collected before it is sent.
+	// AnswerBytes limits an answer that is buffered before it is sent.
 	AnswerBytes int
-	// StreamBufferBytes waiting for one caller to read its stream. Pieces come
-	// in bursts, so it should hold thousands of them; an event has about 200
-	// bytes.
+	// StreamBufferBytes limits the encoded events that wait for one caller to read its
+	// stream. Chunks arrive in bursts, so it should hold thousands of events of about
+	// 200 bytes each.
 	StreamBufferBytes int
-	// WriteTimeout is how long one write to a caller may take.
+	// WriteTimeout limits one write to a caller.
 	WriteTimeout time.Duration
-	// BodyTimeout is how long a caller may take to send its body.
+	// BodyTimeout limits the time in which a caller sends its body.
 	BodyTimeout time.Duration
-	// DefaultTimeLimit for rows and pools without one.
+	// DefaultTimeLimit is the time limit of rows and pools without one.
 	DefaultTimeLimit time.Duration
-	// AdminTimeout bounds the work of one administrative call.
+	// AdminTimeout limits the work of one administrative call.
 	AdminTimeout time.Duration
 }
 
--- a/internal/api/decode.go
+++ b/internal/api/decode.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// affinityPrefixBytes of the prompt decide which replica may hold its prefix.
+	// affinityPrefixBytes is the maximum length of the prompt's prefix by which the router
+	// picks a replica that may have it in its cache.
 	affinityPrefixBytes = 1024
-	// affinityMessageBytes is the length from which the first message alone
-	// decides: what follows is seldom shared between requests. A shorter one is
-	// not worth an affinity of its own.
+	// affinityMessageBytes is the minimum length at which the first message alone is the
+	// prefix: the messages after it are seldom shared between requests. A shorter message
+	// is not worth routing by alone.
 	affinityMessageBytes = 256
 )
 
-// generationKind tells the two generating paths apart.
+// generationKind is one of the two generating endpoints.
 type generationKind uint8
 
 const (
@@ -25,7 +26,7 @@
 	kindCompletion
 )
 
-// path is the OpenAI path of the kind.
+// path returns the OpenAI path of the kind.
 func (k generationKind) path() string {
 	if k == kindChat {
 		return "/v1/chat/completions"
@@ -33,8 +34,8 @@
 	return "/v1/completions"
 }
 
-// generationBody is what the gateway needs to know of a caller's body. The
-// engine gets the body as it came.
+// generationBody holds the fields of a caller's body that the node reads. The engine
+// receives the body unchanged.
 type generationBody struct {
 	Model         string          `json:"model"`
 	Stream        bool            `json:"stream"`
@@ -55,7 +56,7 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// decodeGeneration reads and checks a caller's body.
+// decodeGeneration decodes and validates a caller's body.
 func decodeGeneration(kind generationKind, body []byte) (generationBody, *result.Refusal) {
 	var decoded generationBody
 	if !utf8.Valid(body) {
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// checkCompletionPrompt allows a string, a list of one string, or tokens.
+// checkCompletionPrompt accepts a string, a list of one string, or a list of tokens.
 func checkCompletionPrompt(prompt json.RawMessage) *result.Refusal {
 	switch prompt[0] {
 	case '"':
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// checkOptions refuses what the answer could not hold.
+// checkOptions refuses options whose results the encoded answer has no fields for.
 func (b *generationBody) checkOptions() *result.Refusal {
 	switch {
 	case b.Choices != nil && *b.Choices != 1:
@@ -156,8 +157,8 @@
 	return raw[0] == '[' && len(bytes.TrimSpace(raw[1:len(raw)-1])) == 0
 }
 
-// affinityPrefix returns the start of the prompt that requests with the same
-// cached prefix are likely to share.
+// affinityPrefix returns the prefix of the prompt by which requests are routed to the same
+// replica, in JSON as the caller sent it.
 func (b *generationBody) affinityPrefix(kind generationKind) []byte {
 	prompt := []byte(b.Prompt)
 	if kind == kindChat {
@@ -169,8 +170,8 @@
 	return prompt[:min(len(prompt), affinityPrefixBytes)]
 }
 
-// firstMessage returns the part of a valid JSON list up to the end of its first
-// element, or of its start if that is longer than affinityPrefixBytes.
+// firstMessage returns a valid JSON list up to the end of its first element, at most
+// affinityPrefixBytes of it.
 func firstMessage(messages json.RawMessage) []byte {
 	messages = messages[:min(len(messages), affinityPrefixBytes)]
 	depth, quoted, escaped := 0, false, false
--- a/internal/api/decode_test.go
+++ b/internal/api/decode_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// FuzzDecodeGeneration checks that any body is either refused with a code or
-// names a model and a prompt.
+// FuzzDecodeGeneration checks that any body is either refused with an error code or has a
+// model and a prompt.
 func FuzzDecodeGeneration(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"m","messages":[{"role":"user","content":"x"}]}`,
@@ -40,7 +40,7 @@
 	})
 }
 
-// TestAffinityPrefix checks which requests share their prefix.
+// TestAffinityPrefix checks which requests have the same prefix.
 func TestAffinityPrefix(t *testing.T) {
 	long := strings.Repeat("Read the dossier. ", 20)
 	prefixOf := func(messages ...string) string {
@@ -67,7 +67,7 @@
 	}
 }
 
-// FuzzCallOptions checks that any header value is refused or within its bounds.
+// FuzzCallOptions checks that any header value is either refused or within its bounds.
 func FuzzCallOptions(f *testing.F) {
 	f.Add("30s", "9", "key")
 	f.Add("1e309", "-0", "\x00")
@@ -81,7 +81,7 @@
 		if options.timeLimit <= 0 || options.timeLimit > time.Minute {
 			t.Fatalf("time limit %q became %s", timeLimit, options.timeLimit)
 		}
-		if options.priority < lowestPriority || options.priority > highestPriority {
+		if options.priority < minPriority || options.priority > maxPriority {
 			t.Fatalf("priority %q became %d", priority, options.priority)
 		}
 		if len(options.key) > maxIdempotencyKeyLength {
@@ -90,7 +90,7 @@
 	})
 }
 
-// TestAppendQuoted checks the encoder against encoding/json.
+// TestAppendQuoted compares the encoder with encoding/json.
 func TestAppendQuoted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := string(rapid.SliceOf(rapid.Byte()).Draw(t, "text"))
--- a/internal/api/documents.go
+++ b/internal/api/documents.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// answerDocument is a whole answer to either kind of generation.
+// answerDocument is the OpenAI response object of either kind, when not streamed.
 type answerDocument struct {
 	ID      string           `json:"id"`
 	Object  string           `json:"object"`
@@ -70,7 +70,7 @@
 	return document
 }
 
-// modelList is the OpenAI list of models.
+// modelList is the OpenAI list object of models.
 type modelList struct {
 	Object string          `json:"object"`
 	Data   []modelDocument `json:"data"`
--- a/internal/api/event_encoder.go
+++ b/internal/api/event_encoder.go
@@ -17,11 +17,11 @@
 	defaultFinish      = "stop"
 )
 
-// eventEncoder appends the server-sent events of one stream. All that stays
-// the same from event to event is encoded once.
+// eventEncoder encodes the server-sent events of one stream. The part that all events
+// have in common is encoded only once.
 type eventEncoder struct {
 	kind generationKind
-	// head of every event, up to the choices.
+	// head is the beginning of every event, up to the choices.
 	head []byte
 }
 
@@ -41,7 +41,8 @@
 	return eventEncoder{kind: kind, head: head}
 }
 
-// appendText appends an event with a piece of the answer.
+// appendText appends an event with one chunk of text. The first event of a chat stream
+// also names the role.
 func (e *eventEncoder) appendText(buffer []byte, text string, first bool) []byte {
 	buffer = append(buffer, e.head...)
 	switch {
@@ -58,7 +59,7 @@
 	return append(buffer, `},"logprobs":null,"finish_reason":null}]}`+"\n\n"...)
 }
 
-// appendEnd appends the last events of a complete stream.
+// appendEnd appends the final events of a complete stream.
 func (e *eventEncoder) appendEnd(buffer []byte, end outside.GenerateEnd, withUsage bool) []byte {
 	buffer = append(buffer, e.head...)
 	if e.kind == kindCompletion {
@@ -77,15 +78,15 @@
 func (e *eventEncoder) appendUsage(buffer []byte, usage outside.Usage) []byte {
 	buffer = append(buffer, e.head...)
 	buffer = append(buffer, `],"usage":`...)
-	// A struct of numbers can't fail to be encoded.
+	// Marshalling a struct of numbers can't fail.
 	encoded, _ := json.Marshal(newUsageDocument(usage))
 	buffer = append(buffer, encoded...)
 	return append(buffer, "}\n\n"...)
 }
 
-// appendError appends the event that ends a broken stream.
+// appendError appends the event that ends an incomplete stream.
 func appendError(buffer []byte, document ErrorDocument) []byte {
-	// A struct of words and numbers can't fail to be encoded.
+	// Marshalling a struct of strings and numbers can't fail.
 	encoded, _ := json.Marshal(document)
 	buffer = append(buffer, "data: "...)
 	buffer = append(buffer, encoded...)
@@ -96,7 +97,7 @@
 
 func quoted(text string) []byte { return appendQuoted(nil, text) }
 
-// appendQuoted appends text as a JSON string.
+// appendQuoted appends text as a JSON string. Bytes that are not valid UTF-8 become U+FFFD.
 func appendQuoted(buffer []byte, text string) []byte {
 	buffer = append(buffer, '"')
 	start := 0
--- a/internal/api/fakes_test.go
+++ b/internal/api/fakes_test.go
@@ -35,7 +35,7 @@
 	defaultRowPriority = 4
 )
 
-// fakeGateway runs serve for each request, on a goroutine of its own.
+// fakeGateway runs serve for each request in a new goroutine.
 type fakeGateway struct {
 	serve func(request gateway.Request, responder gateway.Responder, cancelled <-chan struct{})
 
@@ -65,7 +65,7 @@
 	return g.requests
 }
 
-// answering serves every request with the given pieces.
+// answering returns a serve function that answers every request with the given chunks.
 func answering(pieces ...string) func(gateway.Request, gateway.Responder, <-chan struct{}) {
 	return func(_ gateway.Request, responder gateway.Responder, _ <-chan struct{}) {
 		for index, piece := range pieces {
--- a/internal/api/generate.go
+++ b/internal/api/generate.go
@@ -11,17 +11,18 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// keptBufferBytes is the largest buffer kept between two writes of a stream.
-const keptBufferBytes = 64 << 10
+// maxReusedBufferBytes is the capacity up to which the buffer of a stream is reused after
+// a write.
+const maxReusedBufferBytes = 64 << 10
 
-// armedShare of the write timeout may have passed before the deadline of an
-// HTTP/1 connection is set anew.
-const armedShare = 4
+// deadlineRenewalDivisor sets how often the write deadline of an HTTP/1 connection is
+// renewed: not before this fraction (1/n) of the write timeout has passed.
+const deadlineRenewalDivisor = 4
 
-// longPast is a deadline that ends a write in progress.
-var longPast = time.Unix(1, 0)
+// expiredDeadline is a write deadline in the past: setting it aborts a write in progress.
+var expiredDeadline = time.Unix(1, 0)
 
-// serveGeneration returns the handler of one of the generating paths.
+// serveGeneration returns the handler of a generating endpoint.
 func (a *API) serveGeneration(kind generationKind) func(*call) {
 	return func(c *call) {
 		body, refusal := a.readBody(c)
@@ -76,8 +77,8 @@
 	}, nil
 }
 
-// callableRow finds a row of the caller's tenant. Rows of other tenants are as
-// unknown as rows that don't exist.
+// callableRow finds a row of the caller's tenant. Rows of other tenants are reported as not
+// found.
 func (a *API) callableRow(c *call, name string) (table.Row, bool) {
 	row, known := a.config.Table.Row(name)
 	if !known || row.Tenant != c.principal.Tenant {
@@ -86,12 +87,12 @@
 	return row, true
 }
 
-// collect sends the answer as one document.
+// collect serves a request whose answer is sent as one document.
 func (a *API) collect(c *call, kind generationKind, request gateway.Request) {
 	responder := newCollectResponder(a.config.Limits.AnswerBytes)
 	cancel := a.config.Gateway.Submit(request, responder)
-	last, gone := awaitEnding(c, responder.ended)
-	if gone {
+	last, disconnected := awaitEnding(c, responder.ended)
+	if disconnected {
 		cancel()
 		c.outcome = result.CallerGone
 		return
@@ -108,8 +109,8 @@
 	c.answer(http.StatusOK, newAnswerDocument(kind, c.id, request.Model, request.Accepted, text, last.answer.End))
 }
 
-// awaitEnding waits for the ending or for the caller to go away.
-func awaitEnding(c *call, ended <-chan ending) (last ending, gone bool) {
+// awaitEnding waits for the ending or until the caller disconnects.
+func awaitEnding(c *call, ended <-chan ending) (last ending, disconnected bool) {
 	select {
 	case last = <-ended:
 		return last, false
@@ -118,11 +119,11 @@
 	}
 }
 
-// stream sends the answer as server-sent events.
+// stream serves a request whose answer is sent as server-sent events.
 func (a *API) stream(c *call, kind generationKind, request gateway.Request, withUsage bool) {
 	connection := http.NewResponseController(c.writer)
 	encoder := newEventEncoder(kind, c.id, request.Model, request.Accepted)
-	interrupt := func() { _ = connection.SetWriteDeadline(longPast) }
+	interrupt := func() { _ = connection.SetWriteDeadline(expiredDeadline) }
 	responder := newStreamResponder(encoder, a.config.Limits.StreamBufferBytes, interrupt)
 	defer responder.close()
 	cancel := a.config.Gateway.Submit(request, responder)
@@ -132,19 +133,21 @@
 	}
 }
 
-// streamRelay writes what a responder receives to the caller.
+// streamRelay writes the events of a streamResponder to the caller.
 type streamRelay struct {
 	api        *API
 	call       *call
 	connection *http.ResponseController
 	responder  *streamResponder
 	withUsage  bool
-	// armed is when the write deadline was last set.
-	armed   time.Time
-	written int
+	// deadlineSet is the time when the write deadline was last set.
+	deadlineSet time.Time
+	// countedChunks is the number of chunks added to the metrics so far.
+	countedChunks int
 }
 
-// run relays until the end and reports whether the gateway needs no cancel.
+// run writes events until the stream ends. It returns false if the gateway's request has to
+// be cancelled.
 func (r *streamRelay) run() bool {
 	var empty []byte
 	for {
@@ -154,9 +157,9 @@
 			return false
 		case <-r.responder.signal:
 		}
-		next := r.responder.take(empty, r.arm)
+		next := r.responder.takePending(empty, r.setDeadline)
 		if next.overflow {
-			r.giveUp()
+			r.abortSlowCaller()
 			return false
 		}
 		r.countChunks(next.chunks)
@@ -167,13 +170,13 @@
 			r.call.outcome = outcomeOfWriteError(err)
 			return false
 		}
-		empty = reusable(next.events)
+		empty = reusableBuffer(next.events)
 	}
 }
 
-// giveUp ends a stream whose buffer is full. Once the headers are out, the
-// missing end of the body tells the caller that the answer is not complete.
-func (r *streamRelay) giveUp() {
+// abortSlowCaller ends a stream whose buffer has overflowed. If the headers have been sent
+// already, the missing end of the body shows the caller that the answer is incomplete.
+func (r *streamRelay) abortSlowCaller() {
 	refusal := result.Refuse(result.CallerTooSlow, "more of the answer waited to be read than the node keeps")
 	refusal.Ran = result.RanUnknown
 	r.call.outcome = refusal.Code
@@ -183,23 +186,23 @@
 	}
 }
 
-// arm sets the deadline of the next write. On HTTP/1 it concerns only writes
-// and is not set more often than needed; on HTTP/2 it ends the stream at its
-// time, write or not, so it is set for each write and taken back by disarm.
-func (r *streamRelay) arm() {
+// setDeadline sets the deadline of the next write. On HTTP/1 a deadline affects only writes
+// and is renewed no more often than needed. On HTTP/2 it resets the stream when it expires,
+// even between writes, so it is set for each write and cleared by clearDeadline.
+func (r *streamRelay) setDeadline() {
 	now := time.Now()
 	timeout := r.api.config.Limits.WriteTimeout
-	if !r.deadlineEndsStream() && now.Sub(r.armed) < timeout/armedShare {
+	if !r.deadlineEndsStream() && now.Sub(r.deadlineSet) < timeout/deadlineRenewalDivisor {
 		return
 	}
-	r.armed = now
-	// Not every writer has deadlines; the buffer's limit holds for all.
+	r.deadlineSet = now
+	// Not every ResponseWriter supports deadlines; the buffer's limit applies to all.
 	_ = r.connection.SetWriteDeadline(now.Add(timeout))
 }
 
-// disarm takes the deadline back after a write. The responder's mutex keeps an
-// interrupt from being undone.
-func (r *streamRelay) disarm() {
+// clearDeadline clears the deadline after a write on HTTP/2. It does so under the
+// responder's mutex, so that it can't undo the deadline set by an interrupt.
+func (r *streamRelay) clearDeadline() {
 	if r.deadlineEndsStream() {
 		r.responder.unlessOverflow(func() { _ = r.connection.SetWriteDeadline(time.Time{}) })
 	}
@@ -208,15 +211,16 @@
 func (r *streamRelay) deadlineEndsStream() bool { return r.call.request.ProtoMajor >= 2 }
 
 func (r *streamRelay) countChunks(chunks int) {
-	if r.written == 0 && chunks > 0 {
+	if r.countedChunks == 0 && chunks > 0 {
 		r.api.metrics.FirstChunk.Observe(r.api.config.Clock.Now().Sub(r.call.arrived).Seconds())
 	}
-	r.api.metrics.Chunks.Add(float64(chunks - r.written))
-	r.written = chunks
+	r.api.metrics.Chunks.Add(float64(chunks - r.countedChunks))
+	r.countedChunks = chunks
 }
 
-// writeEnd writes the last events and reports whether the stream was complete.
-func (r *streamRelay) writeEnd(next taken) bool {
+// writeEnd writes the final events. It returns false if the gateway's request has to be
+// cancelled.
+func (r *streamRelay) writeEnd(next pendingOutput) bool {
 	refusal := next.ending.checkComplete(next.chunks)
 	events := next.events
 	switch {
@@ -236,7 +240,7 @@
 	return refusal == nil
 }
 
-// write sends events at once, after the headers if they were not sent yet.
+// write sends events and flushes them; before the first events it sends the headers.
 func (r *streamRelay) write(events []byte) error {
 	if len(events) == 0 {
 		return nil
@@ -248,7 +252,7 @@
 		return err
 	}
 	err := r.connection.Flush()
-	r.disarm()
+	r.clearDeadline()
 	return err
 }
 
@@ -261,8 +265,8 @@
 	r.call.writer.WriteHeader(http.StatusOK)
 }
 
-func reusable(buffer []byte) []byte {
-	if cap(buffer) > keptBufferBytes {
+func reusableBuffer(buffer []byte) []byte {
+	if cap(buffer) > maxReusedBufferBytes {
 		return nil
 	}
 	return buffer
@@ -281,7 +285,7 @@
 	}
 }
 
-// extendWrite bounds the time to send a whole answer.
+// extendWrite sets the write deadline for a response that is sent as a whole.
 func (a *API) extendWrite(c *call) {
 	_ = http.NewResponseController(c.writer).SetWriteDeadline(time.Now().Add(a.config.Limits.WriteTimeout))
 }
--- a/internal/api/headers.go
+++ b/internal/api/headers.go
@@ -12,21 +12,21 @@
 const (
 	maxIdempotencyKeyLength = 255
 	maxRequestIDLength      = 96
-	lowestPriority          = 0
-	highestPriority         = 9
-	// maxTimeLimitSeconds keeps the conversion to a duration within range.
+	minPriority             = 0
+	maxPriority             = 9
+	// maxTimeLimitSeconds prevents an overflow in the conversion to a time.Duration.
 	maxTimeLimitSeconds = math.MaxInt64 / int64(time.Second) / 2
 )
 
-// callOptions are what a caller sets by headers.
+// callOptions are the options that a caller sets by headers.
 type callOptions struct {
 	timeLimit time.Duration
 	priority  int
 	key       string
 }
 
-// parseCallOptions reads the headers; limit is the longest time limit allowed
-// and the default.
+// parseCallOptions reads the option headers. limit is both the default and the maximum time
+// limit; priority is the default priority.
 func parseCallOptions(header http.Header, limit time.Duration, priority int) (callOptions, *result.Refusal) {
 	options := callOptions{timeLimit: limit, priority: priority}
 	for _, name := range []string{headerTimeLimit, headerPriority, headerIdempotencyKey} {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// parseTimeLimit reads a Go duration or a number of seconds.
+// parseTimeLimit parses a Go duration or a number of seconds.
 func parseTimeLimit(value string) (time.Duration, bool) {
 	if seconds, err := strconv.ParseFloat(value, 64); err == nil {
 		if math.IsNaN(seconds) || math.Abs(seconds) > float64(maxTimeLimitSeconds) {
@@ -75,8 +75,8 @@
 		return nil
 	}
 	priority, err := strconv.Atoi(value)
-	if err != nil || priority < lowestPriority || priority > highestPriority {
-		return refuse(result.BadPriority, "%s must be a whole number from %d to %d", headerPriority, lowestPriority, highestPriority)
+	if err != nil || priority < minPriority || priority > maxPriority {
+		return refuse(result.BadPriority, "%s must be a whole number from %d to %d", headerPriority, minPriority, maxPriority)
 	}
 	o.priority = priority
 	return nil
@@ -99,7 +99,7 @@
 	return true
 }
 
-// isRequestID reports whether a caller's request id may appear in logs.
+// isRequestID reports whether a caller's request ID is safe to write to logs.
 func isRequestID(value string) bool {
 	if value == "" || len(value) > maxRequestIDLength {
 		return false
@@ -121,7 +121,7 @@
 	}
 }
 
-// headerSize is the size of all names and values in bytes.
+// headerSize returns the size of all header names and values in bytes.
 func headerSize(header http.Header) int {
 	size := 0
 	for name, values := range header {
--- a/internal/api/loopback_benchmark_test.go
+++ b/internal/api/loopback_benchmark_test.go
@@ -19,14 +19,14 @@
 
 const (
 	pacedStreams = 480
-	// pacedPeriod gives 50 chunks a second and stream, 24,000 in all.
+	// pacedPeriod gives 50 chunks per second and stream, 24,000 per second in total.
 	pacedPeriod     = 20 * time.Millisecond
 	waitingRequests = 2000
 	collections     = 5
 	benchmarkBody   = `{"model":"m","stream":true,"messages":[{"role":"user","content":"hello"}]}`
 )
 
-// heldGateway keeps the responders of all requests.
+// heldGateway records the responders of all requests and answers none.
 type heldGateway struct {
 	mutex      sync.Mutex
 	responders []gateway.Responder
@@ -41,7 +41,7 @@
 	return func() {}
 }
 
-// openRequests starts a server and sends it requests that are not answered.
+// openRequests starts a server and sends it requests that stay unanswered.
 func openRequests(b *testing.B, count int) (*heldGateway, []net.Conn) {
 	b.Helper()
 	held := &heldGateway{arrived: make(chan struct{}, count)}
@@ -62,7 +62,7 @@
 	return New(Config{Gateway: g, Table: table.NewSnapshot(1, rows), Keyring: keyring})
 }
 
-// openConnections starts a server and sends it one request a connection.
+// openConnections starts a server and sends it one request per connection.
 func openConnections(b *testing.B, handler http.Handler, count int) []net.Conn {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,8 +87,8 @@
 	return connections
 }
 
-// BenchmarkPacedRelay measures the processor time of 480 streams of 50 chunks a
-// second each, over loopback TCP, callers' reading included.
+// BenchmarkPacedRelay measures the CPU time of 480 streams of 50 chunks per second each over
+// loopback TCP, including the callers' reads.
 func BenchmarkPacedRelay(b *testing.B) {
 	held, connections := openRequests(b, pacedStreams)
 	for _, connection := range connections {
@@ -110,8 +110,8 @@
 	b.ReportMetric(chunks/used, "chunks/cpu-s")
 }
 
-// BenchmarkWaitingRequest measures the memory that a request without an answer
-// holds in the interface: its connection, goroutine and buffers.
+// BenchmarkWaitingRequest measures the memory that an unanswered request holds in the
+// interface: its connection, goroutine and buffers.
 func BenchmarkWaitingRequest(b *testing.B) {
 	for b.Loop() {
 		heapBefore, stackBefore := memoryInUse()
@@ -126,9 +126,9 @@
 	}
 }
 
-// BenchmarkWaitingBare measures the same requests at a handler that only reads
-// the body and waits: what net/http itself holds, and the callers' ends of the
-// connections, which are in this process too.
+// BenchmarkWaitingBare is the baseline of BenchmarkWaitingRequest: a handler that only reads
+// the body and waits. It measures what net/http itself holds, and the callers' ends of the
+// connections, which are in the same process.
 func BenchmarkWaitingBare(b *testing.B) {
 	for b.Loop() {
 		arrived := make(chan struct{}, waitingRequests)
@@ -159,7 +159,7 @@
 }
 
 func memoryInUse() (heap, stack uint64) {
-	// Stacks are halved once a collection.
+	// Each collection shrinks a stack by half at most, so several are needed.
 	for range collections {
 		runtime.GC()
 	}
--- a/internal/api/metrics_test.go
+++ b/internal/api/metrics_test.go
@@ -8,7 +8,7 @@
 	"github.com/hatchplank/hatchplank/internal/telemetry"
 )
 
-// gatherText returns the metrics as Prometheus reads them.
+// gatherText returns the metrics in the Prometheus text format.
 func gatherText(metrics *telemetry.Metrics) string {
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest("GET", "/metrics", nil)
--- a/internal/api/openai_client_test.go
+++ b/internal/api/openai_client_test.go
@@ -70,7 +70,7 @@
 		Expect(first.Choices[0].Text).To(Equal("Kali"))
 	})
 
-	It("lists only its tenant's models", func(ctx SpecContext) {
+	It("lists only models of its tenant", func(ctx SpecContext) {
 		list, err := client.ListModels(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		names := []string{}
@@ -82,7 +82,7 @@
 		Expect(statusOf(err)).To(Equal(http.StatusNotFound))
 	})
 
-	It("gets a refusal before the stream as an error with a status", func(ctx SpecContext) {
+	It("gets a refusal before the stream begins as an error with a status", func(ctx SpecContext) {
 		service.serve = func(_ gateway.Request, responder gateway.Responder, _ <-chan struct{}) {
 			refusal := result.Refuse(result.DeadlineUnreachable, "no replica in time")
 			refusal.RetryAfter = 1500 * time.Millisecond
@@ -95,7 +95,7 @@
 		Expect(apiError.Code).To(Equal("deadline_unreachable"))
 	})
 
-	It("gets a refusal within the stream as an error, never as an end", func(ctx SpecContext) {
+	It("gets a refusal within the stream as an error, never as a complete answer", func(ctx SpecContext) {
 		service.serve = func(_ gateway.Request, responder gateway.Responder, _ <-chan struct{}) {
 			responder.Chunk(outside.Chunk{Index: 0, Text: "Ka"})
 			responder.Refuse(result.Refusal{Code: result.StreamBroken, Ran: result.RanUnknown})
@@ -119,9 +119,9 @@
 		Expect(err).To(HaveOccurred())
 		Expect(err).NotTo(MatchError(io.EOF))
 	},
-		Entry("the last piece is missing", []outside.Chunk{{Index: 0, Text: "a"}}, 2),
-		Entry("a piece in the middle is missing", []outside.Chunk{{Index: 0, Text: "a"}, {Index: 2, Text: "c"}}, 3),
-		Entry("a piece comes twice", []outside.Chunk{{Index: 0, Text: "a"}, {Index: 0, Text: "a"}}, 2),
+		Entry("the last chunk is missing", []outside.Chunk{{Index: 0, Text: "a"}}, 2),
+		Entry("a chunk in the middle is missing", []outside.Chunk{{Index: 0, Text: "a"}, {Index: 2, Text: "c"}}, 3),
+		Entry("a chunk arrives twice", []outside.Chunk{{Index: 0, Text: "a"}, {Index: 0, Text: "a"}}, 2),
 	)
 })
 
--- a/internal/api/pass_through.go
+++ b/internal/api/pass_through.go
@@ -14,7 +14,7 @@
 
 const backEndsPrefix = "/v1/backends/"
 
-// servePassThrough sends a request on to a server of a pool.
+// servePassThrough forwards a request to a server of a pool.
 func (a *API) servePassThrough(c *call) {
 	body, refusal := a.readBody(c)
 	if refusal != nil {
@@ -28,9 +28,9 @@
 	}
 	responder := newCollectResponder(a.config.Limits.AnswerBytes)
 	cancel := a.config.Gateway.Submit(request, responder)
-	last, gone := awaitEnding(c, responder.ended)
+	last, disconnected := awaitEnding(c, responder.ended)
 	switch {
-	case gone:
+	case disconnected:
 		cancel()
 		c.outcome = result.CallerGone
 	case last.refusal != nil:
@@ -49,7 +49,7 @@
 	if len(pool.Tenants) > 0 && !slices.Contains(pool.Tenants, c.principal.Tenant) {
 		return gateway.Request{}, refuse(result.Forbidden, "the pool %q is not open to this tenant", name)
 	}
-	path, refusal := pool.passedPath(c.request, name)
+	path, refusal := pool.backEndPath(c.request, name)
 	if refusal != nil {
 		return gateway.Request{}, refusal
 	}
@@ -77,9 +77,9 @@
 	}, nil
 }
 
-// passedPath returns the path and query for the back end. Paths that climb are
-// refused, so that a prefix can't be left.
-func (p Pool) passedPath(request *http.Request, name string) (string, *result.Refusal) {
+// backEndPath returns the path and query for the back end. Paths with dot segments are
+// refused, so that they can't escape an allowed prefix.
+func (p Pool) backEndPath(request *http.Request, name string) (string, *result.Refusal) {
 	for _, segment := range strings.Split(request.URL.Path, "/") {
 		if segment == "." || segment == ".." {
 			return "", refuse(result.MalformedRequest, "the path must not contain . or .. segments")
@@ -100,19 +100,18 @@
 	if len(p.PathPrefixes) == 0 {
 		return true
 	}
-	return slices.ContainsFunc(p.PathPrefixes, func(prefix string) bool { return isBelow(path, prefix) })
+	return slices.ContainsFunc(p.PathPrefixes, func(prefix string) bool { return hasPathPrefix(path, prefix) })
 }
 
-// isBelow reports whether a path is the prefix or continues it by whole
-// segments.
-func isBelow(path, prefix string) bool {
-	rest, below := strings.CutPrefix(path, prefix)
-	return below && (rest == "" || rest[0] == '/' || strings.HasSuffix(prefix, "/"))
+// hasPathPrefix reports whether a path equals the prefix or extends it by whole segments.
+func hasPathPrefix(path, prefix string) bool {
+	rest, found := strings.CutPrefix(path, prefix)
+	return found && (rest == "" || rest[0] == '/' || strings.HasSuffix(prefix, "/"))
 }
 
 func isSafeMethod(method string) bool { return method == http.MethodGet || method == http.MethodHead }
 
-// writeResponse hands a back end's answer to the caller as it came.
+// writeResponse sends a back end's response to the caller unchanged.
 func (a *API) writeResponse(c *call, answer gateway.Answer) {
 	response := answer.Response
 	if !isFinalStatus(response.Status) {
@@ -127,7 +126,7 @@
 	writeBackEndResponse(c.writer, response)
 }
 
-// isFinalStatus excludes 1xx, which net/http takes for interim responses.
+// isFinalStatus excludes 1xx, which net/http treats as interim responses.
 func isFinalStatus(status int) bool { return status >= http.StatusOK && status <= 999 }
 
 func writeBackEndResponse(writer http.ResponseWriter, response outside.BackEndResponse) {
@@ -135,7 +134,7 @@
 		writer.Header().Set("Content-Type", response.ContentType)
 	}
 	writer.WriteHeader(response.Status)
-	// A failed write means that the caller is gone; the outcome is recorded
+	// A failed write means that the caller has disconnected; the outcome is recorded
 	// under the request's key.
 	_, _ = writer.Write(response.Body)
 }
--- a/internal/api/refusal.go
+++ b/internal/api/refusal.go
@@ -23,12 +23,12 @@
 
 const contentTypeJSON = "application/json"
 
-// ErrorDocument is the body of every refusal, in the OpenAI error shape.
+// ErrorDocument is the body of every refusal, in the format of OpenAI errors.
 type ErrorDocument struct {
 	Error ErrorBody `json:"error"`
 }
 
-// ErrorBody is the OpenAI error object with the project's additions.
+// ErrorBody is the OpenAI error object with additional fields.
 type ErrorBody struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
@@ -37,14 +37,14 @@
 	Param *string `json:"param"`
 	// ResultCode is the result code's number.
 	ResultCode int `json:"result_code"`
-	// Ran is "no" (proved), "unknown" or "yes".
+	// Ran reports whether the request was executed: "no" (proven), "unknown" or "yes".
 	Ran string `json:"ran"`
-	// RetryAfterSeconds is 0 when a new try makes no sense.
+	// RetryAfterSeconds is the time after which to retry; 0 if a retry is not useful.
 	RetryAfterSeconds float64 `json:"retry_after_s"`
 	RequestID         string  `json:"request_id"`
 }
 
-// newErrorDocument describes a refusal to the caller.
+// newErrorDocument returns the error response for a refusal.
 func newErrorDocument(refusal result.Refusal, requestID string) ErrorDocument {
 	info := result.Describe(refusal.Code)
 	message := refusal.Message
@@ -62,7 +62,7 @@
 	}}
 }
 
-// errorType returns the OpenAI error type that fits a code.
+// errorType returns the OpenAI error type of a result code.
 func errorType(info result.Info) string {
 	switch {
 	case info.Code == result.Unauthenticated:
@@ -78,7 +78,7 @@
 	}
 }
 
-// writeRefusal sends a refusal as a whole response.
+// writeRefusal sends a refusal as an error response.
 func writeRefusal(writer http.ResponseWriter, refusal result.Refusal, requestID string) {
 	setRefusalHeaders(writer.Header(), refusal)
 	writeJSON(writer, refusal.Code.Status(), newErrorDocument(refusal, requestID))
@@ -95,7 +95,7 @@
 	}
 }
 
-// wholeSeconds rounds up, because Retry-After has no fractions.
+// wholeSeconds rounds up to seconds, because Retry-After has no fractions.
 func wholeSeconds(duration time.Duration) int { return int(math.Ceil(duration.Seconds())) }
 
 func writeJSON(writer http.ResponseWriter, status int, document any) {
@@ -107,6 +107,6 @@
 	writer.Header().Set("Content-Type", contentTypeJSON)
 	writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	writer.WriteHeader(status)
-	// A failed write means that the caller is gone: nobody is left to tell.
+	// A failed write means that the caller has disconnected: there is no one to report to.
 	_, _ = writer.Write(body)
 }
--- a/internal/api/relay_benchmark_test.go
+++ b/internal/api/relay_benchmark_test.go
@@ -13,7 +13,7 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// benchmarkChunks are the pieces of one streamed answer.
+// benchmarkChunks is the number of chunks of one streamed answer.
 const benchmarkChunks = 1000
 
 // chunkSource streams an answer to every request as fast as it can.
@@ -29,8 +29,8 @@
 	return func() {}
 }
 
-// BenchmarkStreamRelay measures streamed chunks through responder, encoder and
-// handler, without a network.
+// BenchmarkStreamRelay measures the throughput of responder, encoder and handler, without a
+// network.
 func BenchmarkStreamRelay(b *testing.B) {
 	row := table.Row{Name: "m", Tenant: "t", Repeatable: true}
 	keyring, err := auth.NewKeyring([]auth.Credential{{SHA256: auth.HashToken("secret"), Tenant: "t", Role: auth.RoleCaller}})
--- a/internal/api/seed_test.go
+++ b/internal/api/seed_test.go
@@ -1,3 +1,3 @@
 package api
 
-import _ "github.com/hatchplank/hatchplank/internal/fixedseed" // property tests repeat
+import _ "github.com/hatchplank/hatchplank/internal/fixedseed" // makes property tests reproducible
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -21,7 +21,7 @@
 )
 
 var _ = Describe("Serve", func() {
-	DescribeTable("lets requests in progress finish when it is told to stop", func(ctx SpecContext, withTLS bool) {
+	DescribeTable("lets requests in progress finish on shutdown", func(ctx SpecContext, withTLS bool) {
 		service := newFakeGateway()
 		arrived, release := make(chan struct{}), make(chan struct{})
 		service.serve = func(_ gateway.Request, responder gateway.Responder, _ <-chan struct{}) {
@@ -68,7 +68,7 @@
 		Eventually(ctx, served).Should(Receive(BeNil()))
 	}, Entry("by plain HTTP", false), Entry("by TLS and HTTP/2", true))
 
-	It("answers on a kept connection that is used again when it is told to stop", func(ctx SpecContext) {
+	It("answers a request on a keep-alive connection after shutdown has begun", func(ctx SpecContext) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		serving, stop := context.WithCancel(ctx)
@@ -96,7 +96,7 @@
 		Eventually(ctx, served).Should(Receive(BeNil()))
 	})
 
-	It("tells when the listener fails", func(ctx SpecContext) {
+	It("returns an error if the listener fails", func(ctx SpecContext) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(listener.Close()).To(Succeed())
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -9,13 +9,13 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// Status is the state of the deployment as one node collected it.
+// Status is the state of the deployment as collected by one node.
 type Status struct {
-	// Node that answers.
+	// Node is the name of the collecting node.
 	Node     string         `json:"node"`
 	Revision table.Revision `json:"revision"`
 	Draining bool           `json:"draining"`
-	// Unreachable nodes did not answer: what they hold is missing.
+	// Unreachable nodes did not answer: their rows, pools and servers are missing.
 	Unreachable []string       `json:"silent"`
 	Rows        []RowStatus    `json:"rows"`
 	Pools       []PoolStatus   `json:"pools"`
@@ -29,18 +29,18 @@
 type RowStatus struct {
 	Row    string `json:"row"`
 	Tenant string `json:"tenant"`
-	// MinReplicas and MaxReplicas are the row's limits.
+	// MinReplicas and MaxReplicas are the limits in the row.
 	MinReplicas int `json:"min_replicas"`
 	MaxReplicas int `json:"max_replicas"`
-	// Waiting and Running requests at all gateways. Those for adapters are
-	// counted at their base.
+	// Waiting and Running are the requests at all gateways. Those for adapters are
+	// counted in the row of their base model.
 	Waiting  int             `json:"waiting"`
 	Running  int             `json:"running"`
 	Replicas []ReplicaStatus `json:"replicas"`
 }
 
-// ReplicaStatus is one replica: where it is and why. For an adapter it is the
-// replica of the base that holds the adapter.
+// ReplicaStatus is the state of one replica. In the row of an adapter it is the replica of
+// the base model that has the adapter loaded.
 type ReplicaStatus struct {
 	Slot    int    `json:"slot"`
 	Server  string `json:"server"`
@@ -49,7 +49,8 @@
 	Version string `json:"version"`
 	Running int    `json:"running"`
 	Queued  int    `json:"queued"`
-	// Reason why it was loaded; Leaving why it goes, empty if it stays.
+	// Reason is why the replica was loaded. Leaving is why it is being removed, empty if
+	// it is not.
 	Reason  string `json:"reason"`
 	Leaving string `json:"leaving"`
 }
@@ -61,7 +62,7 @@
 	Running int    `json:"running"`
 }
 
-// ServerStatus is the memory ledger of one server.
+// ServerStatus is the state and memory use of one server.
 type ServerStatus struct {
 	Server string `json:"server"`
 	Pool   string `json:"pool"`
@@ -73,7 +74,7 @@
 	ReservedBytes int64  `json:"reserved_bytes"`
 }
 
-// MemberStatus is one live node.
+// MemberStatus is the state of one live node.
 type MemberStatus struct {
 	Name     string         `json:"name"`
 	Zone     string         `json:"zone"`
@@ -90,7 +91,7 @@
 	Vacant bool   `json:"vacant"`
 }
 
-// PlatformHealth tells how long ago each service last answered the node.
+// PlatformHealth is the state of the platform's services as seen by the node.
 type PlatformHealth struct {
 	Services []ServiceHealth `json:"services"`
 }
@@ -103,19 +104,20 @@
 	Detail      string    `json:"detail,omitempty"`
 }
 
-// RevisionStatus tells which nodes act on a revision.
+// RevisionStatus reports whether a revision is in force, and the revision of each node.
 type RevisionStatus struct {
 	Revision table.Revision `json:"revision"`
-	// InForce: every live node acts on the revision or a newer one.
+	// InForce is true if every live node uses the revision or a newer one.
 	InForce bool           `json:"in_force"`
 	Members []MemberStatus `json:"members"`
 }
 
-// StatusSource collects what the administration shows. Done callbacks follow
-// the contract of package outside.
+// StatusSource collects the state shown by the administration. Done callbacks follow the
+// contract of package outside.
 type StatusSource interface {
+	// Status collects the state of the deployment.
 	Status(timeout time.Duration, done func(Status, error))
-	// RevisionStatus asks the live nodes which revision they act on.
+	// RevisionStatus asks the live nodes for the revision that they use.
 	RevisionStatus(revision table.Revision, timeout time.Duration, done func(RevisionStatus, error))
 }
 
@@ -128,11 +130,12 @@
 		c.refuse(refusalOfRead(err))
 		return
 	}
-	c.answer(http.StatusOK, limitStatus(status, scope(c.principal)))
+	c.answer(http.StatusOK, filterStatus(status, managedTenant(c.principal)))
 }
 
-// limitStatus leaves out what other tenants have.
-func limitStatus(status Status, tenant string) Status {
+// filterStatus removes the rows of other tenants, and all pools, from the status for a
+// tenant. An empty tenant sees everything.
+func filterStatus(status Status, tenant string) Status {
 	if tenant == "" {
 		return status
 	}
@@ -147,7 +150,7 @@
 	return status
 }
 
-func (a *API) getForce(c *call) {
+func (a *API) getRevisionStatus(c *call) {
 	revision, refusal := parseWholeNumber(c.request, "revision", 0, math.MaxInt64)
 	if refusal == nil && revision == 0 {
 		refusal = refuse(result.MalformedRequest, "the query parameter revision is missing")
@@ -157,12 +160,12 @@
 		return
 	}
 	timeout := a.config.Limits.AdminTimeout
-	force, err := await(c.request.Context(), timeout, func(done func(RevisionStatus, error)) {
+	status, err := await(c.request.Context(), timeout, func(done func(RevisionStatus, error)) {
 		a.config.Status.RevisionStatus(table.Revision(revision), timeout, done)
 	})
 	if err != nil {
 		c.refuse(refusalOfRead(err))
 		return
 	}
-	c.answer(http.StatusOK, force)
+	c.answer(http.StatusOK, status)
 }
--- a/internal/api/stored_table.go
+++ b/internal/api/stored_table.go
@@ -11,32 +11,33 @@
 	"github.com/hatchplank/hatchplank/internal/tablestore"
 )
 
-// snapshotsKept is the number of recent tables kept, to tell what an edit that
-// came second clashed with.
-const snapshotsKept = 8
+// maxRecentSnapshots is the number of recent tables kept in memory, from which the changes
+// that an edit conflicts with are computed.
+const maxRecentSnapshots = 8
 
-// StoredTable is the TableStore over a node's tablestore.Store: it turns whole
-// tables into changes, keeps tenants apart, and names both sides of a conflict.
+// StoredTable implements TableStore on a node's tablestore.Store. It converts whole tables
+// to changes of rows, isolates tenants, and reports the changes of both sides of a conflict.
 type StoredTable struct {
 	store *tablestore.Store
 
 	mutex sync.Mutex
-	// recent tables in order of revision.
+	// recent holds the newest tables in order of revision.
 	recent []*table.Snapshot
 }
 
-// NewStoredTable must be called before the store is started.
+// NewStoredTable returns a TableStore on the store. It must be called before the store is
+// started.
 func NewStoredTable(store *tablestore.Store) *StoredTable {
 	stored := &StoredTable{store: store}
-	store.Subscribe(stored.keep)
+	store.Subscribe(stored.remember)
 	return stored
 }
 
 // Snapshot implements TableStore.
 func (s *StoredTable) Snapshot() *table.Snapshot { return s.store.Snapshot() }
 
-// keep remembers a table; they may come in any order.
-func (s *StoredTable) keep(snapshot *table.Snapshot) {
+// remember adds a table to the recent ones. Tables may arrive in any order.
+func (s *StoredTable) remember(snapshot *table.Snapshot) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	position, known := slices.BinarySearchFunc(s.recent, snapshot.Revision(), compareRevision)
@@ -44,7 +45,7 @@
 		return
 	}
 	s.recent = slices.Insert(s.recent, position, snapshot)
-	if len(s.recent) > snapshotsKept {
+	if len(s.recent) > maxRecentSnapshots {
 		s.recent = slices.Delete(s.recent, 0, 1)
 	}
 }
@@ -53,8 +54,8 @@
 	return int(snapshot.Revision() - revision)
 }
 
-// at returns the table at a revision, if it is still known.
-func (s *StoredTable) at(revision table.Revision) (*table.Snapshot, bool) {
+// snapshotAt returns the table at a revision, if it is still in memory.
+func (s *StoredTable) snapshotAt(revision table.Revision) (*table.Snapshot, bool) {
 	if revision == 0 {
 		return table.NewSnapshot(0, nil), true
 	}
@@ -70,16 +71,16 @@
 	return s.recent[position], true
 }
 
-// Propose implements TableStore. The timeout is the store's own.
+// Propose implements TableStore. It ignores the timeout: the store has its own.
 func (s *StoredTable) Propose(edit TableEdit, _ time.Duration, done func(table.Revision, error)) {
-	if base, known := s.at(edit.Base); known {
+	if base, known := s.snapshotAt(edit.Base); known {
 		s.proposeOn(base, edit, done)
 		return
 	}
-	// An edit without changes makes the store read the newest table, which the
-	// operator may have seen at another node.
+	// An edit without changes makes the store read the newest table: the operator may
+	// have read that revision from another node.
 	s.store.Propose(tablestore.Edit{Base: edit.Base}, func(outcome tablestore.Outcome) {
-		base, known := s.at(edit.Base)
+		base, known := s.snapshotAt(edit.Base)
 		switch {
 		case outcome.Code != result.OK:
 			done(0, s.errorOf(outcome, edit, nil))
@@ -114,7 +115,7 @@
 	})
 }
 
-// foreignRow returns a name of the edit that belongs to another tenant.
+// foreignRow returns the name of a row in the edit that belongs to another tenant.
 func foreignRow(base *table.Snapshot, edit TableEdit) (string, bool) {
 	if edit.Tenant == "" {
 		return "", false
@@ -127,7 +128,8 @@
 	return "", false
 }
 
-// repeatedName finds a name that stands twice, which a change can't express.
+// repeatedName reports a name that occurs more than once; a set of changed rows can't
+// express that.
 func repeatedName(rows []table.Row) (table.Problem, bool) {
 	seen := make(map[string]bool, len(rows))
 	for _, row := range rows {
@@ -139,7 +141,7 @@
 	return table.Problem{}, false
 }
 
-// rowsOf returns a tenant's rows; all for an empty tenant.
+// rowsOf returns a tenant's rows, or all rows for an empty tenant.
 func rowsOf(rows []table.Row, tenant string) []table.Row {
 	if tenant == "" {
 		return rows
@@ -153,7 +155,7 @@
 	return own
 }
 
-// errorOf gives an outcome the error that TableStore promises.
+// errorOf converts an outcome of the store to an error listed at TableStore.Propose.
 func (s *StoredTable) errorOf(outcome tablestore.Outcome, edit TableEdit, base []table.Row) error {
 	switch outcome.Code {
 	case result.RevisionConflict:
@@ -169,10 +171,11 @@
 	}
 }
 
-// conflict names what both edits changed, as far as the tables are known.
+// conflict returns the error for an edit whose base is not the current revision, with the
+// changes of both sides if both tables are still in memory.
 func (s *StoredTable) conflict(current table.Revision, edit TableEdit, base []table.Row) error {
 	conflict := &TableConflictError{Current: current}
-	theirs, known := s.at(current)
+	theirs, known := s.snapshotAt(current)
 	if base == nil || !known {
 		return conflict
 	}
@@ -183,8 +186,9 @@
 	return conflict
 }
 
-// History implements TableStore. The columns of a change are told while the
-// tables before and after it are known here; its row's name always.
+// History implements TableStore. A change lists its columns only while the tables before and
+// after it are in memory; otherwise it has just the row's name. It ignores the timeout: the
+// store has its own.
 func (s *StoredTable) History(tenant string, limit int, _ time.Duration, done func([]HistoryEntry, error)) {
 	s.store.History(0, func(records []tablestore.HistoryRecord, err error) {
 		if err != nil {
@@ -202,51 +206,51 @@
 	})
 }
 
-// firstRevision can only add rows.
+// firstRevision is the first revision of a table; it can only add rows.
 const firstRevision = 1
 
 func (s *StoredTable) entryOf(record tablestore.HistoryRecord, tenant string) HistoryEntry {
 	entry := HistoryEntry{Revision: record.Revision, Author: record.Author, Time: record.Time}
-	before, knowsBefore := s.at(record.Revision - 1)
-	after, knowsAfter := s.at(record.Revision)
+	before, knowsBefore := s.snapshotAt(record.Revision - 1)
+	after, knowsAfter := s.snapshotAt(record.Revision)
 	if knowsBefore && knowsAfter {
 		entry.Changes = table.Changes(rowsOf(before.Rows(), tenant), rowsOf(after.Rows(), tenant))
 		return entry
 	}
 	for _, name := range record.Changed {
-		if s.belongs(name, tenant) {
+		if s.belongsTo(name, tenant) {
 			entry.Changes = append(entry.Changes, table.RowChange{Row: name, Added: record.Revision == firstRevision})
 		}
 	}
 	for _, name := range record.Removed {
-		if s.belongs(name, tenant) {
+		if s.belongsTo(name, tenant) {
 			entry.Changes = append(entry.Changes, table.RowChange{Row: name, Removed: true})
 		}
 	}
 	return entry
 }
 
-// belongs reports whether a row is the tenant's in the newest table. A removed
-// row's tenant is not known any more: only administrators see it.
-func (s *StoredTable) belongs(name, tenant string) bool {
+// belongsTo reports whether a row belongs to the tenant in the newest table. The tenant of a
+// removed row is no longer known, so only administrators see it.
+func (s *StoredTable) belongsTo(name, tenant string) bool {
 	row, known := s.store.Row(name)
 	return tenant == "" || (known && row.Tenant == tenant)
 }
 
-// NewRevisionStatus says whether a revision is in force, from what all nodes answered. A
-// node that did not answer counts as one that acts on no table.
+// NewRevisionStatus returns whether a revision is in force, given the revision of each node.
+// A node that did not answer counts as using no table.
 func NewRevisionStatus(revision table.Revision, nodes []tablestore.NodeRevision) RevisionStatus {
-	force := RevisionStatus{Revision: revision, InForce: len(nodes) > 0, Members: []MemberStatus{}}
+	status := RevisionStatus{Revision: revision, InForce: len(nodes) > 0, Members: []MemberStatus{}}
 	for _, node := range nodes {
-		acts := node.Revision
+		nodeRevision := node.Revision
 		if !node.Known {
-			acts = 0
+			nodeRevision = 0
 		}
-		force.InForce = force.InForce && node.Known && acts >= revision
-		force.Members = append(force.Members, MemberStatus{
+		status.InForce = status.InForce && node.Known && nodeRevision >= revision
+		status.Members = append(status.Members, MemberStatus{
 			Name: node.Member.Name, Zone: node.Member.Zone, Address: node.Member.CallerAddress,
-			Draining: node.Member.Draining, Revision: acts,
+			Draining: node.Member.Draining, Revision: nodeRevision,
 		})
 	}
-	return force
+	return status
 }
--- a/internal/api/stored_table_test.go
+++ b/internal/api/stored_table_test.go
@@ -17,11 +17,11 @@
 	"github.com/hatchplank/hatchplank/internal/tablestore"
 )
 
-// lonelyNode is a membership.View of one node.
-type lonelyNode struct{}
+// singleNode is a membership.View of one node.
+type singleNode struct{}
 
-func (lonelyNode) Self() membership.Member      { return membership.Member{Name: "node"} }
-func (lonelyNode) Members() []membership.Member { return []membership.Member{{Name: "node"}} }
+func (singleNode) Self() membership.Member      { return membership.Member{Name: "node"} }
+func (singleNode) Members() []membership.Member { return []membership.Member{{Name: "node"}} }
 
 var _ = Describe("StoredTable", func() {
 	var loop *simulation.Loop
@@ -35,7 +35,7 @@
 		process := simulation.NewProcess(loop, "node")
 		kv := keyvalue.NewStore(keyvalue.Options{Clock: kvProcess, Random: loop.Fork()})
 		store := tablestore.New(tablestore.Dependencies{
-			Members: lonelyNode{}, KeyValues: keyvalue.NewSimulated(network, kvProcess, process, kv),
+			Members: singleNode{}, KeyValues: keyvalue.NewSimulated(network, kvProcess, process, kv),
 			Transport: simulation.NewPeerNetwork(network).Transport(process), Clock: process, Random: loop.Fork(),
 			Validate: func(rows []table.Row) []table.Problem { return table.Validate(rows, table.Constraints{}) },
 			Log:      zerolog.Nop(),
@@ -50,7 +50,7 @@
 		var revision table.Revision
 		var err error
 		stored.Propose(edit, time.Second, func(r table.Revision, e error) { calls, revision, err = calls+1, r, e })
-		Expect(calls).To(BeZero(), "done came before the call returned")
+		Expect(calls).To(BeZero(), "done was called before Propose returned")
 		loop.RunFor(5 * time.Minute)
 		Expect(calls).To(Equal(1))
 		return revision, err
@@ -74,18 +74,18 @@
 		Expect(changed.Weight).To(Equal(5))
 	})
 
-	It("refuses an operator who takes the name of a foreign row", func() {
+	It("refuses an operator's edit that reuses the name of another tenant's row", func() {
 		rows := testRows()
 		Expect(propose(api.TableEdit{Rows: rows})).To(BeEquivalentTo(1))
-		stolen := rows[2]
-		stolen.Tenant = attica
-		_, err := propose(api.TableEdit{Base: 1, Tenant: attica, Rows: []table.Row{stolen}})
+		hijacked := rows[2]
+		hijacked.Tenant = attica
+		_, err := propose(api.TableEdit{Base: 1, Tenant: attica, Rows: []table.Row{hijacked}})
 		Expect(err).To(BeAssignableToTypeOf(result.Refusal{}))
 		Expect(err.(result.Refusal).Code).To(Equal(result.Forbidden))
 		Expect(stored.Snapshot().Revision()).To(BeEquivalentTo(1))
 	})
 
-	It("names both changes of a conflict, and to an operator only the own tenant's", func() {
+	It("reports the changes of both sides of a conflict, to an operator only those of its tenant", func() {
 		rows := testRows()
 		Expect(propose(api.TableEdit{Rows: rows})).To(BeEquivalentTo(1))
 		theirs := withWeight(2, rows...)
@@ -101,7 +101,7 @@
 		Expect(conflict.Theirs).To(HaveLen(1))
 	})
 
-	It("tells of a base that is no longer known, or was never", func() {
+	It("reports a conflict if the base is no longer in memory or never existed", func() {
 		rows := testRows()
 		for revision := range 12 {
 			Expect(propose(api.TableEdit{Base: table.Revision(revision), Rows: withWeight(revision+1, rows...)})).To(BeEquivalentTo(revision + 1))
@@ -113,7 +113,7 @@
 		}
 	})
 
-	It("lists problems, of rules and of repeated names", func() {
+	It("lists violated rules and repeated names", func() {
 		rows := testRows()
 		rows[0].MinReplicas = 9
 		_, err := propose(api.TableEdit{Rows: rows})
@@ -123,13 +123,13 @@
 		Expect(stored.Snapshot().Revision()).To(BeZero())
 	})
 
-	It("never calls an outage a success", func() {
+	It("does not report success while the key-value service is unavailable", func() {
 		kvProcess.Pause()
 		_, err := propose(api.TableEdit{Rows: testRows()})
 		Expect(err).To(Or(MatchError(outside.ErrNotApplied), MatchError(outside.ErrAmbiguous)))
 	})
 
-	It("shows the history of the tenant", func() {
+	It("limits the history to the tenant", func() {
 		rows := testRows()
 		Expect(propose(api.TableEdit{Rows: rows, Author: "admin"})).To(BeEquivalentTo(1))
 		Expect(propose(api.TableEdit{Base: 1, Tenant: ionia, Rows: withWeight(4, rows[2]), Author: "ionia/operator"})).To(BeEquivalentTo(2))
@@ -159,8 +159,8 @@
 var _ = DescribeTable("a revision is in force", func(nodes []tablestore.NodeRevision, inForce bool) {
 	Expect(api.NewRevisionStatus(7, nodes).InForce).To(Equal(inForce))
 },
-	Entry("when all act on it or a newer one", []tablestore.NodeRevision{{Revision: 7, Known: true}, {Revision: 8, Known: true}}, true),
-	Entry("but not while one is behind", []tablestore.NodeRevision{{Revision: 7, Known: true}, {Revision: 6, Known: true}}, false),
-	Entry("but not while one is silent", []tablestore.NodeRevision{{Revision: 7, Known: true}, {Revision: 8}}, false),
-	Entry("but not when nobody is known", nil, false),
+	Entry("when all nodes use it or a newer one", []tablestore.NodeRevision{{Revision: 7, Known: true}, {Revision: 8, Known: true}}, true),
+	Entry("but not while a node uses an older one", []tablestore.NodeRevision{{Revision: 7, Known: true}, {Revision: 6, Known: true}}, false),
+	Entry("but not while a node does not answer", []tablestore.NodeRevision{{Revision: 7, Known: true}, {Revision: 8}}, false),
+	Entry("but not when no node is known", nil, false),
 )
--- a/internal/api/stream.go
+++ b/internal/api/stream.go
@@ -8,22 +8,23 @@
 	"github.com/hatchplank/hatchplank/internal/result"
 )
 
-// ending is the final call a responder received.
+// ending is the final call that a responder received: an answer or a refusal.
 type ending struct {
 	answer  gateway.Answer
 	refusal *result.Refusal
 }
 
-// streamResponder holds the encoded events of a stream until the handler has
-// written them. The gateway's calls never wait for the caller: when the caller
-// reads too slowly and the buffer is full, the stream is given up.
+// streamResponder is a gateway.Responder that buffers the encoded events of a stream until
+// the handler writes them. The gateway's calls never block on the caller: if the caller
+// reads too slowly and the buffer overflows, the stream is aborted.
 type streamResponder struct {
-	// signal holds one element when there is something to take.
+	// signal holds one element when there is output to take.
 	signal chan struct{}
 	// encoder is used by Chunk only until the ending, then by the handler.
 	encoder eventEncoder
-	limit   int
-	// interrupt ends a write in progress; called with the mutex held.
+	// limit of the buffered events in bytes.
+	limit int
+	// interrupt aborts a write in progress; it is called with the mutex held.
 	interrupt func()
 
 	mutex    sync.Mutex
@@ -90,30 +91,30 @@
 	}
 }
 
-// taken is what the handler has to write next.
-type taken struct {
+// pendingOutput is what the handler writes next: the events since the last call of
+// takePending, and the state of the stream.
+type pendingOutput struct {
 	events   []byte
 	chunks   int
 	ending   *ending
 	overflow bool
 }
 
-// take hands over the pending events and takes an empty buffer in exchange.
-// Unless the stream has overflowed, arm sets the deadline of the next write;
-// it is called with the mutex held, so that an interrupt is never undone.
-func (s *streamResponder) take(empty []byte, arm func()) taken {
+// takePending returns the pending events and reuses the empty buffer for the next ones.
+// Unless the stream has overflowed, it calls setDeadline for the next write with the mutex
+// held, so that the deadline set by an interrupt is never overwritten.
+func (s *streamResponder) takePending(empty []byte, setDeadline func()) pendingOutput {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	next := taken{events: s.pending, chunks: s.chunks, ending: s.ending, overflow: s.overflow}
+	next := pendingOutput{events: s.pending, chunks: s.chunks, ending: s.ending, overflow: s.overflow}
 	s.pending = empty[:0]
 	if !s.overflow {
-		arm()
+		setDeadline()
 	}
 	return next
 }
 
-// unlessOverflow calls a function with the mutex held, unless the stream has
-// overflowed.
+// unlessOverflow calls a function with the mutex held, unless the stream has overflowed.
 func (s *streamResponder) unlessOverflow(function func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -122,7 +123,7 @@
 	}
 }
 
-// close makes every later call a no-op: the handler has returned.
+// close makes later calls of the gateway no-ops. The handler calls it when it returns.
 func (s *streamResponder) close() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -130,13 +131,15 @@
 	s.pending = nil
 }
 
+// outOfOrder is the refusal for a chunk with an unexpected index.
 func outOfOrder(got, expected int) *result.Refusal {
 	refusal := result.Refuse(result.StreamBroken, "piece %d of the answer came where %d was due", got, expected)
 	refusal.Ran = result.RanUnknown
 	return &refusal
 }
 
-// checkComplete turns an answer that lacks pieces into a refusal.
+// checkComplete returns the refusal of the ending, or one for an answer with missing chunks,
+// or nil if the answer is complete.
 func (e ending) checkComplete(chunks int) *result.Refusal {
 	if e.refusal != nil {
 		return e.refusal
--- a/internal/api/stream_test.go
+++ b/internal/api/stream_test.go
@@ -10,10 +10,10 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// TestStreamOverflow checks that a full buffer interrupts the writer once, is
-// let go, and stays an overflow whatever comes after.
+// TestStreamOverflow checks that an overflow interrupts the writer once and releases the
+// buffer, and that later calls don't clear it.
 func TestStreamOverflow(t *testing.T) {
-	interrupts, armed := 0, 0
+	interrupts, deadlines := 0, 0
 	encoder := newEventEncoder(kindChat, "request", "model", time.Unix(0, 0))
 	responder := newStreamResponder(encoder, 1000, func() { interrupts++ })
 	for index := range 100 {
@@ -23,13 +23,13 @@
 		}
 	}
 	responder.Finish(gateway.Answer{End: outside.GenerateEnd{Chunks: 100}})
-	next := responder.take(nil, func() { armed++ })
-	if !next.overflow || len(next.events) != 0 || interrupts != 1 || armed != 0 {
-		t.Fatalf("got %+v after %d interrupts, armed %d times", next, interrupts, armed)
+	next := responder.takePending(nil, func() { deadlines++ })
+	if !next.overflow || len(next.events) != 0 || interrupts != 1 || deadlines != 0 {
+		t.Fatalf("got %+v after %d interrupts, deadline set %d times", next, interrupts, deadlines)
 	}
 }
 
-// TestStreamClosed checks that a closed responder neither keeps nor interrupts.
+// TestStreamClosed checks that a closed responder neither buffers events nor interrupts.
 func TestStreamClosed(t *testing.T) {
 	encoder := newEventEncoder(kindChat, "request", "model", time.Unix(0, 0))
 	responder := newStreamResponder(encoder, 10, func() { t.Fatal("interrupted") })
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// TestDeadlineBetweenWrites checks that between two writes no deadline can end
-// an HTTP/2 stream, and that every write has one.
+// TestDeadlineBetweenWrites checks that every write has a deadline, and that on HTTP/2 none
+// remains between two writes, where it would reset the stream.
 func TestDeadlineBetweenWrites(t *testing.T) {
 	for _, protocol := range []int{1, 2} {
 		writer := &deadlineRecorder{ResponseRecorder: httptest.NewRecorder()}
@@ -66,7 +66,7 @@
 		}
 		for index := range 3 {
 			relay.responder.Chunk(outside.Chunk{Index: index, Text: "token"})
-			next := relay.responder.take(nil, relay.arm)
+			next := relay.responder.takePending(nil, relay.setDeadline)
 			if len(writer.deadlines) == 0 || (protocol == 2 && writer.deadlines[len(writer.deadlines)-1].IsZero()) {
 				t.Fatalf("HTTP/%d: write %d has no deadline: %v", protocol, index, writer.deadlines)
 			}
