--- a/internal/api/nodestatus/collector.go
+++ b/internal/api/nodestatus/collector.go
@@ -15,46 +15,49 @@
 )
 
 const (
-	// askConcurrency bounds how many nodes are asked at once.
-	askConcurrency = 32
-	// peerTimeout of one question.
-	peerTimeout = 2 * time.Second
+	// queryConcurrency limits how many nodes are queried at the same time.
+	queryConcurrency = 32
+	// queryTimeout limits the query of one node.
+	queryTimeout = 2 * time.Second
 )
 
 // Table is the node's access to the table.
 type Table interface {
 	table.View
+	// InForce collects the revision that each node uses. A node that does not answer is
+	// included without one.
 	InForce(done func([]tablestore.NodeRevision))
 }
 
-// Cells tells of the cells owned here.
+// Cells provides the state of the cells that this node owns.
 type Cells interface {
 	Status() []applier.CellStatus
 }
 
-// Requests tells what waits and runs at this node's gateway.
+// Requests provides the waiting and running requests of this node's gateway.
 type Requests interface {
 	Stats() gateway.Stats
 }
 
-// Machines finds a machine of the newest listing.
+// Machines provides the machines of the newest listing.
 type Machines interface {
+	// Machine returns the machine of a server, if it is listed.
 	Machine(server outside.ServerID) (outside.Machine, bool)
 }
 
-// Config names a node's parts.
+// Config holds the dependencies of a Collector.
 type Config struct {
 	Clock     clock.Clock
 	Members   membership.View
 	Ownership membership.Ownership
-	// CellNames are all cells of the layout, in order.
+	// CellNames are the names of all cells of the layout, in order.
 	CellNames []string
 	Table     Table
 	Cells     Cells
 	Requests  Requests
 	Machines  Machines
 	Transport peer.Transport
-	// Health of the platform as this node sees it; may be nil.
+	// Health returns the state of the platform's services as this node sees it; may be nil.
 	Health func() api.PlatformHealth
 }
 
@@ -65,28 +68,30 @@
 
 var _ api.StatusSource = (*Collector)(nil)
 
-// New returns a collector and registers its handler with the transport, so it
-// must be called before the transport starts.
+// New returns a collector and registers its message handler with the transport. It must be
+// called before the transport starts.
 func New(config Config) *Collector {
 	collector := &Collector{Config: config}
 	config.Transport.Handle(PartRequest{}, func(_ string, _ peer.Message, reply func(peer.Message, error)) {
-		reply(collector.localPart(), nil)
+		reply(collector.localReply(), nil)
 	})
 	return collector
 }
 
-// RevisionStatus implements api.StatusSource; its time is bounded by the table store.
+// RevisionStatus implements api.StatusSource. It ignores the timeout: the table store has
+// its own.
 func (c *Collector) RevisionStatus(revision table.Revision, _ time.Duration, done func(api.RevisionStatus, error)) {
 	c.Table.InForce(func(nodes []tablestore.NodeRevision) { done(api.NewRevisionStatus(revision, nodes), nil) })
 }
 
-// Status implements api.StatusSource.
+// Status implements api.StatusSource. It ignores the timeout: each node is queried for at
+// most queryTimeout.
 func (c *Collector) Status(_ time.Duration, done func(api.Status, error)) {
-	c.ask(func(parts []part) { done(c.assemble(parts), nil) })
+	c.queryMembers(func(replies []memberReply) { done(c.assemble(replies), nil) })
 }
 
-// assemble puts the nodes' parts together.
-func (c *Collector) assemble(parts []part) api.Status {
+// assemble merges the replies of all nodes.
+func (c *Collector) assemble(replies []memberReply) api.Status {
 	self := c.Members.Self()
 	status := api.Status{
 		Node: self.Name, Revision: c.Table.Revision(), Draining: self.Draining,
@@ -98,23 +103,24 @@
 	}
 	rows := rowIndex{}
 	pools := map[string]int{}
-	for _, part := range parts {
-		status.Members = append(status.Members, part.memberStatus())
-		if !part.known {
-			status.Unreachable = append(status.Unreachable, part.member.Name)
+	for _, answer := range replies {
+		status.Members = append(status.Members, answer.memberStatus())
+		if !answer.answered {
+			status.Unreachable = append(status.Unreachable, answer.member.Name)
 			continue
 		}
-		status.Servers = append(status.Servers, part.reply.Servers...)
-		for _, row := range part.reply.Rows {
-			rows.add(row)
+		status.Servers = append(status.Servers, answer.reply.Servers...)
+		for _, row := range answer.reply.Rows {
+			rows.merge(row)
 		}
-		addPools(&status, pools, part.reply.Pools)
+		addPools(&status, pools, answer.reply.Pools)
 	}
 	status.Rows = c.describeRows(rows)
 	return status
 }
 
-// addPools sums the requests of each pool; index holds the pools' positions.
+// addPools adds one node's requests to each pool's totals. index maps a pool's name to its
+// position in status.Pools.
 func addPools(status *api.Status, index map[string]int, pools []api.PoolStatus) {
 	for _, pool := range pools {
 		position, known := index[pool.Pool]
@@ -128,8 +134,8 @@
 	}
 }
 
-// describeRows adds what the table says, also of rows without replicas. Rows
-// that are no longer in the table are kept, without tenant.
+// describeRows adds the tenants and replica limits of the table, and its rows without
+// replicas or requests. Rows that are no longer in the table are kept, without a tenant.
 func (c *Collector) describeRows(rows rowIndex) []api.RowStatus {
 	for _, row := range c.Table.Rows() {
 		status := rows.at(row.Name)
@@ -140,6 +146,7 @@
 	return rows.sorted()
 }
 
+// owners returns the owner of each cell; a cell without a known owner is vacant.
 func (c *Collector) owners() []api.OwnerStatus {
 	owners := []api.OwnerStatus{}
 	for _, cell := range c.CellNames {
--- a/internal/api/nodestatus/health.go
+++ b/internal/api/nodestatus/health.go
@@ -10,7 +10,8 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// ServiceObserver remembers how the calls to one platform service ended.
+// ServiceObserver records the outcome of the newest call to a platform service and the time
+// of the last success.
 type ServiceObserver struct {
 	name  string
 	clock clock.Clock
@@ -20,13 +21,14 @@
 	lastError   error
 }
 
-// NewServiceObserver returns an observer of a service that was not called yet.
+// NewServiceObserver returns an observer of a service that has not been called yet, which
+// counts as unhealthy.
 func NewServiceObserver(name string, c clock.Clock) *ServiceObserver {
 	return &ServiceObserver{name: name, clock: c}
 }
 
-// Observe takes the outcome of a call. An answer that is an error of the
-// request, not of the service, counts as a success: hand in nil.
+// Observe records the outcome of a call. Pass nil also for an error response that is due to
+// the request rather than to the service.
 func (o *ServiceObserver) Observe(err error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -36,7 +38,7 @@
 	}
 }
 
-// Health tells how the newest call ended.
+// Health returns the state of the service after the newest call.
 func (o *ServiceObserver) Health() api.ServiceHealth {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -48,7 +50,7 @@
 	return health
 }
 
-// HealthOf returns the health of all observed services.
+// HealthOf returns a function that returns the state of all observed services.
 func HealthOf(observers ...*ServiceObserver) func() api.PlatformHealth {
 	return func() api.PlatformHealth {
 		health := api.PlatformHealth{Services: []api.ServiceHealth{}}
@@ -59,14 +61,15 @@
 	}
 }
 
-// observedKeyValues passes calls on and observes those that every node makes
-// regularly: transactions, readings and renewals of leases.
+// observedKeyValues forwards all calls and observes those that every node makes regularly:
+// transactions, range reads and lease renewals.
 type observedKeyValues struct {
 	outside.KeyValueService
 	observer *ServiceObserver
 }
 
-// ObserveKeyValues returns the service with its calls observed.
+// ObserveKeyValues returns the service with its transactions, range reads and lease renewals
+// observed.
 func ObserveKeyValues(service outside.KeyValueService, observer *ServiceObserver) outside.KeyValueService {
 	return observedKeyValues{service, observer}
 }
@@ -85,7 +88,7 @@
 func (o observedKeyValues) KeepAlive(lease outside.LeaseID, timeout time.Duration, done func(error)) {
 	o.KeyValueService.KeepAlive(lease, timeout, func(err error) {
 		if errors.Is(err, outside.ErrLeaseGone) {
-			// The service has answered.
+			// The service answered: the lease has expired or was revoked.
 			o.observer.Observe(nil)
 		} else {
 			o.observer.Observe(err)
@@ -94,7 +97,7 @@
 	})
 }
 
-// observedMachines observes the readings of the machine list.
+// observedMachines observes the calls that read the machine list.
 type observedMachines struct {
 	service  outside.MachineListService
 	observer *ServiceObserver
@@ -110,7 +113,7 @@
 	o.service.List(sinceVersion, timeout, observed(o.observer, done))
 }
 
-// observedWeights observes the readings of the weight store's state.
+// observedWeights observes the calls that read the weight store's state.
 type observedWeights struct {
 	service  outside.WeightStoreService
 	observer *ServiceObserver
@@ -126,7 +129,7 @@
 	o.service.Status(timeout, observed(o.observer, done))
 }
 
-// observed wraps a done callback.
+// observed wraps a done callback so that the observer records the call's outcome.
 func observed[T any](observer *ServiceObserver, done func(T, error)) func(T, error) {
 	return func(value T, err error) {
 		observer.Observe(err)
--- a/internal/api/nodestatus/part.go
+++ b/internal/api/nodestatus/local.go
@@ -9,10 +9,10 @@
 	"github.com/hatchplank/hatchplank/internal/applier"
 )
 
-// poolPrefix marks the gateway's groups that are pools.
+// poolPrefix is the prefix of those gateway groups that are pools.
 const poolPrefix = "pool/"
 
-// The states of a server.
+// The values of api.ServerStatus.State.
 const (
 	stateAdopted    = "adopted"
 	stateLeaving    = "leaving"
@@ -20,27 +20,28 @@
 	stateNotListed  = "not_listed"
 )
 
-// localPart describes what this node owns and what waits at it.
-func (c *Collector) localPart() PartReply {
-	part := PartReply{Member: c.Members.Self().ID(), Revision: c.Table.Revision()}
+// localReply returns this node's part of the status: the servers and replicas of the cells
+// that it owns, and the requests at its gateway.
+func (c *Collector) localReply() PartReply {
+	reply := PartReply{Member: c.Members.Self().ID(), Revision: c.Table.Revision()}
 	rows := rowIndex{}
 	for _, cell := range c.Cells.Status() {
 		for _, server := range cell.Servers {
-			part.Servers = append(part.Servers, c.serverStatus(cell, server))
+			reply.Servers = append(reply.Servers, c.serverStatus(cell, server))
 			rows.addReplicas(server)
 		}
 	}
 	for _, group := range c.Requests.Stats().Groups {
 		if pool, isPool := strings.CutPrefix(group.Name, poolPrefix); isPool {
-			part.Pools = append(part.Pools, api.PoolStatus{Pool: pool, Waiting: group.Waiting, Running: group.Running})
+			reply.Pools = append(reply.Pools, api.PoolStatus{Pool: pool, Waiting: group.Waiting, Running: group.Running})
 			continue
 		}
 		row := rows.at(group.Name)
 		row.Waiting += group.Waiting
 		row.Running += group.Running
 	}
-	part.Rows = rows.sorted()
-	return part
+	reply.Rows = rows.sorted()
+	return reply
 }
 
 func (c *Collector) serverStatus(cell applier.CellStatus, server applier.ServerStatus) api.ServerStatus {
@@ -64,9 +65,10 @@
 	}
 }
 
-// rowIndex collects rows by name.
+// rowIndex holds rows by name.
 type rowIndex map[string]*api.RowStatus
 
+// at returns the row with the name and adds it if there is none.
 func (r rowIndex) at(name string) *api.RowStatus {
 	row, known := r[name]
 	if !known {
@@ -76,6 +78,7 @@
 	return row
 }
 
+// addReplicas adds the replicas of a server to the rows of their models and adapters.
 func (r rowIndex) addReplicas(server applier.ServerStatus) {
 	for _, replica := range server.Replicas {
 		status := api.ReplicaStatus{
@@ -90,16 +93,16 @@
 	}
 }
 
-// add merges another node's part of a row.
-func (r rowIndex) add(part api.RowStatus) {
-	row := r.at(part.Row)
-	row.Waiting += part.Waiting
-	row.Running += part.Running
-	row.Replicas = append(row.Replicas, part.Replicas...)
+// merge adds another node's requests and replicas of a row.
+func (r rowIndex) merge(other api.RowStatus) {
+	row := r.at(other.Row)
+	row.Waiting += other.Waiting
+	row.Running += other.Running
+	row.Replicas = append(row.Replicas, other.Replicas...)
 }
 
-// sorted returns the rows in order of name, each one's replicas in order of
-// slot.
+// sorted returns the rows in order of name, each with its replicas in order of slot and
+// server.
 func (r rowIndex) sorted() []api.RowStatus {
 	rows := make([]api.RowStatus, 0, len(r))
 	for _, row := range r {
--- a/internal/api/nodestatus/messages.go
+++ b/internal/api/nodestatus/messages.go
@@ -1,5 +1,6 @@
-// Package nodestatus collects the state of a deployment: each node tells what
-// it owns and what waits at it, and the node that was asked puts it together.
+// Package nodestatus collects the state of a deployment: the node that serves the status call
+// queries all nodes for the cells that they own and the requests at their gateways, and merges
+// the replies.
 package nodestatus
 
 import (
@@ -8,17 +9,20 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// PartRequest asks a node for its part of the status.
+// PartRequest queries a node for its part of the status.
 type PartRequest struct{}
 
 // PartReply is a node's part of the status.
 type PartReply struct {
-	// Member is the id of the answering node.
-	Member   string
+	// Member is the ID of the replying node.
+	Member string
+	// Revision of the table that the node uses.
 	Revision table.Revision
-	// Rows with replicas in cells owned by the node, or with requests at it.
-	Rows    []api.RowStatus
-	Pools   []api.PoolStatus
+	// Rows with replicas in cells owned by the node, or with requests at its gateway.
+	Rows []api.RowStatus
+	// Pools with requests at the node's gateway.
+	Pools []api.PoolStatus
+	// Servers of the cells owned by the node.
 	Servers []api.ServerStatus
 }
 
--- a/internal/api/nodestatus/nodestatus_test.go
+++ b/internal/api/nodestatus/nodestatus_test.go
@@ -24,8 +24,8 @@
 	RunSpecs(t, "Node Status Suite")
 }
 
-// fakeParts are the parts of one node.
-type fakeParts struct {
+// fakeNode implements the dependencies of one node's Collector.
+type fakeNode struct {
 	*table.Snapshot
 	self    membership.Member
 	members []membership.Member
@@ -33,27 +33,27 @@
 	groups  []gateway.GroupStats
 }
 
-func (p *fakeParts) Self() membership.Member      { return p.self }
-func (p *fakeParts) Members() []membership.Member { return p.members }
+func (p *fakeNode) Self() membership.Member      { return p.self }
+func (p *fakeNode) Members() []membership.Member { return p.members }
 
-func (p *fakeParts) OwnerOf(cell string) (membership.Owner, bool) {
+func (p *fakeNode) OwnerOf(cell string) (membership.Owner, bool) {
 	return membership.Owner{Cell: cell, Epoch: 3, Member: p.members[0]}, cell == "c"
 }
 
-func (p *fakeParts) InForce(done func([]tablestore.NodeRevision)) {
+func (p *fakeNode) InForce(done func([]tablestore.NodeRevision)) {
 	done([]tablestore.NodeRevision{{Member: p.self, Revision: 7, Known: true}})
 }
 
-func (p *fakeParts) Machine(outside.ServerID) (outside.Machine, bool) {
+func (p *fakeNode) Machine(outside.ServerID) (outside.Machine, bool) {
 	return outside.Machine{Pool: "glossa"}, true
 }
 
-// cellStatuses and stats give the two methods of the same name.
-type cellStatuses struct{ *fakeParts }
+// cellStatuses and stats add the remaining interfaces, Cells and Requests, to a fakeNode.
+type cellStatuses struct{ *fakeNode }
 
 func (c cellStatuses) Status() []applier.CellStatus { return c.cells }
 
-type stats struct{ *fakeParts }
+type stats struct{ *fakeNode }
 
 func (s stats) Stats() gateway.Stats { return gateway.Stats{Groups: s.groups} }
 
@@ -74,7 +74,7 @@
 		rows := []table.Row{{Name: "dossier", Tenant: "attica", MinReplicas: 1, MaxReplicas: 4}, {Name: "idle", Tenant: "ionia"}}
 		for index, member := range members {
 			process := simulation.NewProcess(loop, member.Name)
-			parts := &fakeParts{
+			node := &fakeNode{
 				Snapshot: table.NewSnapshot(table.Revision(7+index), rows), self: member, members: members,
 				groups: []gateway.GroupStats{{Name: "dossier", Waiting: 1 + index, Running: 2}, {Name: "pool/eggrafi", Waiting: 3}},
 				cells: []applier.CellStatus{{Cell: "c", Servers: []applier.ServerStatus{{
@@ -84,8 +84,8 @@
 			}
 			processes = append(processes, process)
 			collectors = append(collectors, nodestatus.New(nodestatus.Config{
-				Clock: process, Members: parts, Ownership: parts, CellNames: []string{"c", "d"}, Table: parts,
-				Cells: cellStatuses{parts}, Requests: stats{parts}, Machines: parts, Transport: peers.Transport(process),
+				Clock: process, Members: node, Ownership: node, CellNames: []string{"c", "d"}, Table: node,
+				Cells: cellStatuses{node}, Requests: stats{node}, Machines: node, Transport: peers.Transport(process),
 			}))
 		}
 	})
@@ -98,13 +98,13 @@
 			Expect(err).NotTo(HaveOccurred())
 			calls, status = calls+1, s
 		})
-		Expect(calls).To(BeZero(), "done came before the call returned")
+		Expect(calls).To(BeZero(), "done was called before Status returned")
 		loop.RunFor(time.Minute)
 		Expect(calls).To(Equal(1))
 		return status
 	}
 
-	It("puts the parts of all nodes together", func() {
+	It("merges the replies of all nodes", func() {
 		status := collect()
 		Expect(status.Unreachable).To(BeEmpty())
 		Expect(status.Rows).To(HaveLen(3))
@@ -123,7 +123,7 @@
 		Expect(status.Owners).To(Equal([]api.OwnerStatus{{Cell: "c", Member: "a", Epoch: 3}, {Cell: "d", Vacant: true, Member: "a", Epoch: 3}}))
 	})
 
-	It("names the nodes that do not answer", func() {
+	It("lists the nodes that do not answer", func() {
 		processes[2].Pause()
 		status := collect()
 		Expect(status.Unreachable).To(Equal([]string{"c"}))
@@ -131,34 +131,34 @@
 		Expect(status.Members).To(HaveLen(3))
 	})
 
-	It("tells whether a revision is in force", func() {
-		var force api.RevisionStatus
-		collectors[0].RevisionStatus(8, time.Second, func(f api.RevisionStatus, _ error) { force = f })
-		Expect(force.InForce).To(BeFalse())
-		collectors[0].RevisionStatus(7, time.Second, func(f api.RevisionStatus, _ error) { force = f })
-		Expect(force.InForce).To(BeTrue())
+	It("reports whether a revision is in force", func() {
+		var status api.RevisionStatus
+		collectors[0].RevisionStatus(8, time.Second, func(f api.RevisionStatus, _ error) { status = f })
+		Expect(status.InForce).To(BeFalse())
+		collectors[0].RevisionStatus(7, time.Second, func(f api.RevisionStatus, _ error) { status = f })
+		Expect(status.InForce).To(BeTrue())
 	})
 })
 
-// flakyKeyValues answers with what it is told.
-type flakyKeyValues struct {
+// stubKeyValues completes its calls with err.
+type stubKeyValues struct {
 	outside.KeyValueService
 	err error
 }
 
-func (f *flakyKeyValues) KeepAlive(_ outside.LeaseID, _ time.Duration, done func(error)) {
+func (f *stubKeyValues) KeepAlive(_ outside.LeaseID, _ time.Duration, done func(error)) {
 	done(f.err)
 }
 
-func (f *flakyKeyValues) Range(_ string, _ time.Duration, done func(outside.RangeResult, error)) {
+func (f *stubKeyValues) Range(_ string, _ time.Duration, done func(outside.RangeResult, error)) {
 	done(outside.RangeResult{}, f.err)
 }
 
 var _ = Describe("the health of a platform service", func() {
-	It("follows the newest call and remembers the last success", func() {
+	It("reflects the newest call and keeps the time of the last success", func() {
 		loop := simulation.NewLoop(1)
 		observer := nodestatus.NewServiceObserver("key-value", loop)
-		service := &flakyKeyValues{}
+		service := &stubKeyValues{}
 		observed := nodestatus.ObserveKeyValues(service, observer)
 		health := nodestatus.HealthOf(observer)
 		Expect(health().Services[0].Healthy).To(BeFalse())
--- a/internal/api/nodestatus/survey.go
+++ b/internal/api/nodestatus/query.go
@@ -6,32 +6,33 @@
 	"github.com/hatchplank/hatchplank/internal/membership/survey"
 )
 
-// part is one node's answer.
-type part struct {
+// memberReply is the result of querying one node.
+type memberReply struct {
 	member membership.Member
 	reply  PartReply
-	// known is false if the node did not answer.
-	known bool
+	// answered is false if the node did not answer.
+	answered bool
 }
 
-func (p part) memberStatus() api.MemberStatus {
+func (p memberReply) memberStatus() api.MemberStatus {
 	return api.MemberStatus{
 		Name: p.member.Name, Zone: p.member.Zone, Address: p.member.CallerAddress,
 		Draining: p.member.Draining, Revision: p.reply.Revision,
 	}
 }
 
-// ask asks all members for their parts, some at a time.
-func (c *Collector) ask(done func([]part)) {
+// queryMembers queries all members for their parts of the status, at most queryConcurrency
+// at a time.
+func (c *Collector) queryMembers(done func([]memberReply)) {
 	survey.Query[PartReply]{
 		Clock: c.Clock, Transport: c.Transport, Members: c.Members, Message: PartRequest{},
-		Timeout: peerTimeout, Concurrency: askConcurrency, Local: c.localPart,
+		Timeout: queryTimeout, Concurrency: queryConcurrency, Local: c.localReply,
 		ResponderID: func(reply PartReply) string { return reply.Member },
 	}.Run(func(answers []survey.Result[PartReply]) {
-		parts := make([]part, 0, len(answers))
+		replies := make([]memberReply, 0, len(answers))
 		for _, answer := range answers {
-			parts = append(parts, part{member: answer.Member, reply: answer.Reply, known: answer.Answered})
+			replies = append(replies, memberReply{member: answer.Member, reply: answer.Reply, answered: answer.Answered})
 		}
-		done(parts)
+		done(replies)
 	})
 }
