--- a/internal/api/admin_table.go
+++ b/internal/api/admin_table.go
@@ -225,8 +225,8 @@
 	return number, nil
 }
 
-// refusalOfRead converts the error of a read-only call. Unlike refusalOfError it never
-// reports an unknown outcome, because a read changes nothing.
+// refusalOfRead converts the error of a read-only call to a refusal. A read changes nothing,
+// so its outcome is never unknown as in refusalOfError.
 func refusalOfRead(err error) result.Refusal {
 	var refusal result.Refusal
 	if errors.As(err, &refusal) {
