--- a/internal/api/nodestatus/nodestatus_test.go
+++ b/internal/api/nodestatus/nodestatus_test.go
@@ -41,7 +41,7 @@
 }
 
 func (p *fakeParts) InForce(done func([]tablestore.NodeRevision)) {
-	done([]tablestore.NodeRevision{{Member: p.self, Revision: 7, Known: true}})
+	done([]tablestore.NodeRevision{{Member: p.self, Revision: 7, Answered: true}})
 }
 
 func (p *fakeParts) Machine(outside.ServerID) (outside.Machine, bool) {
--- a/internal/api/stored_table.go
+++ b/internal/api/stored_table.go
@@ -239,10 +239,10 @@
 	force := Force{Revision: revision, InForce: len(nodes) > 0, Members: []MemberStatus{}}
 	for _, node := range nodes {
 		acts := node.Revision
-		if !node.Known {
+		if !node.Answered {
 			acts = 0
 		}
-		force.InForce = force.InForce && node.Known && acts >= revision
+		force.InForce = force.InForce && node.Answered && acts >= revision
 		force.Members = append(force.Members, MemberStatus{
 			Name: node.Member.Name, Zone: node.Member.Zone, Address: node.Member.CallerAddress,
 			Draining: node.Member.Draining, Revision: acts,
--- a/internal/api/stored_table_test.go
+++ b/internal/api/stored_table_test.go
@@ -159,8 +159,8 @@
 var _ = DescribeTable("a revision is in force", func(nodes []tablestore.NodeRevision, inForce bool) {
 	Expect(api.NewForce(7, nodes).InForce).To(Equal(inForce))
 },
-	Entry("when all act on it or a newer one", []tablestore.NodeRevision{{Revision: 7, Known: true}, {Revision: 8, Known: true}}, true),
-	Entry("but not while one is behind", []tablestore.NodeRevision{{Revision: 7, Known: true}, {Revision: 6, Known: true}}, false),
-	Entry("but not while one is silent", []tablestore.NodeRevision{{Revision: 7, Known: true}, {Revision: 8}}, false),
+	Entry("when all act on it or a newer one", []tablestore.NodeRevision{{Revision: 7, Answered: true}, {Revision: 8, Answered: true}}, true),
+	Entry("but not while one is behind", []tablestore.NodeRevision{{Revision: 7, Answered: true}, {Revision: 6, Answered: true}}, false),
+	Entry("but not while one is silent", []tablestore.NodeRevision{{Revision: 7, Answered: true}, {Revision: 8}}, false),
 	Entry("but not when nobody is known", nil, false),
 )
--- a/internal/command/table_get.go
+++ b/internal/command/table_get.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	written := table.DocumentsOf(document.Revision, document.Rows)
+	written := table.NewTableDocument(document.Revision, document.Rows)
 	if output == outputJSON {
 		return printJSON(command.OutOrStdout(), written)
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -289,7 +289,7 @@
 }
 
 func (w *World) follow(pair outside.KeyValue, at time.Time) {
-	entry, isLog := tablestore.ReadLogEntry(pair.Key, pair.Value)
+	entry, isLog := tablestore.DecodeLogEntry(pair.Key, pair.Value)
 	if !isLog {
 		return
 	}
--- a/internal/load/records.go
+++ b/internal/load/records.go
@@ -92,7 +92,7 @@
 	rows := table.NewSnapshot(0, nil)
 	for _, message := range messages {
 		for _, event := range message.Events {
-			entry, isLog := tablestore.ReadLogEntry(string(event.KeyValue.Key), event.KeyValue.Value)
+			entry, isLog := tablestore.DecodeLogEntry(string(event.KeyValue.Key), event.KeyValue.Value)
 			if !isLog {
 				continue
 			}
--- a/internal/table/document.go
+++ b/internal/table/document.go
@@ -36,8 +36,8 @@
 	lines map[string]int
 }
 
-// DocumentOf returns the written form of a row.
-func DocumentOf(row Row) RowDocument {
+// NewRowDocument returns the written form of a row.
+func NewRowDocument(row Row) RowDocument {
 	return RowDocument{
 		Name: row.Name, Kind: string(row.Kind), Base: row.Base, Version: row.Version,
 		Weights: FormatSize(row.WeightBytes), Tenant: row.Tenant,
@@ -48,11 +48,11 @@
 	}
 }
 
-// DocumentsOf returns the written form of a table.
-func DocumentsOf(revision Revision, rows []Row) TableDocument {
+// NewTableDocument returns the written form of a table.
+func NewTableDocument(revision Revision, rows []Row) TableDocument {
 	document := TableDocument{Revision: revision, Rows: make([]RowDocument, len(rows))}
 	for index, row := range rows {
-		document.Rows[index] = DocumentOf(row)
+		document.Rows[index] = NewRowDocument(row)
 	}
 	return document
 }
--- a/internal/table/json.go
+++ b/internal/table/json.go
@@ -75,7 +75,7 @@
 }
 
 func encodeJSON(revision Revision, rows []Row) ([]byte, error) {
-	text, err := json.MarshalIndent(DocumentsOf(revision, rows), "", "  ")
+	text, err := json.MarshalIndent(NewTableDocument(revision, rows), "", "  ")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/table/yaml.go
+++ b/internal/table/yaml.go
@@ -86,5 +86,5 @@
 }
 
 func encodeYAML(revision Revision, rows []Row) ([]byte, error) {
-	return yaml.Marshal(DocumentsOf(revision, rows))
+	return yaml.Marshal(NewTableDocument(revision, rows))
 }
--- a/internal/tablestore/distribute.go
+++ b/internal/tablestore/distribute.go
@@ -118,7 +118,7 @@
 	if s.stopped {
 		return
 	}
-	pause := s.options.PullEvery/2 + time.Duration(s.Random.Int64N(int64(s.options.PullEvery)))
+	pause := s.options.PullInterval/2 + time.Duration(s.Random.Int64N(int64(s.options.PullInterval)))
 	s.pullTimer = s.Clock.AfterFunc(pause, s.pullFromAnyone)
 }
 
@@ -135,7 +135,7 @@
 // drawPeerLocked draws a peer, mostly of the own zone.
 func (s *Store) drawPeerLocked() (peer membership.Member, found bool) {
 	peers := s.zonePeers
-	if len(peers) == 0 || (len(s.remotePeers) > 0 && s.Random.Float64() < s.options.RemotePulls) {
+	if len(peers) == 0 || (len(s.remotePeers) > 0 && s.Random.Float64() < s.options.RemotePullShare) {
 		peers = s.remotePeers
 	}
 	if len(peers) == 0 {
--- a/internal/tablestore/inforce.go
+++ b/internal/tablestore/inforce.go
@@ -11,8 +11,8 @@
 type NodeRevision struct {
 	Member   membership.Member
 	Revision table.Revision
-	// Known is false if the node did not answer.
-	Known bool
+	// Answered is false if the node did not answer.
+	Answered bool
 }
 
 // InForce asks all members which revision they act on. Done as in package
@@ -20,12 +20,12 @@
 func (s *Store) InForce(done func([]NodeRevision)) {
 	survey.Query[RevisionReply]{
 		Clock: s.Clock, Transport: s.Transport, Members: s.Members, Message: RevisionRequest{},
-		Timeout: s.options.PeerTimeout, Concurrency: s.options.AskConcurrency, Local: s.ownRevision,
+		Timeout: s.options.PeerTimeout, Concurrency: s.options.QueryConcurrency, Local: s.ownRevision,
 		ResponderID: func(reply RevisionReply) string { return reply.Member },
 	}.Run(func(answers []survey.Result[RevisionReply]) {
 		nodes := make([]NodeRevision, 0, len(answers))
 		for _, answer := range answers {
-			nodes = append(nodes, NodeRevision{Member: answer.Member, Revision: answer.Reply.Revision, Known: answer.Answered})
+			nodes = append(nodes, NodeRevision{Member: answer.Member, Revision: answer.Reply.Revision, Answered: answer.Answered})
 		}
 		done(nodes)
 	})
--- a/internal/tablestore/logreader.go
+++ b/internal/tablestore/logreader.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// ReadLogEntry decodes a key-value pair if it is an accepted edit of the
+// DecodeLogEntry decodes a key-value pair if it is an accepted edit of the
 // table's log, for those who follow the service's records.
-func ReadLogEntry(key string, value []byte) (LogEntry, bool) {
+func DecodeLogEntry(key string, value []byte) (LogEntry, bool) {
 	if !strings.HasPrefix(key, logPrefix) {
 		return LogEntry{}, false
 	}
--- a/internal/tablestore/options.go
+++ b/internal/tablestore/options.go
@@ -13,25 +13,25 @@
 	// MinBackoff and MaxBackoff bound the pause before a failed call is
 	// repeated.
 	MinBackoff, MaxBackoff time.Duration
-	// Tries is how many calls to the key-value service one proposal may make
+	// MaxAttempts is how many calls to the key-value service one proposal may make
 	// that fail.
-	Tries int
+	MaxAttempts int
 	// WatchersPerZone is how many members of each zone watch the key-value
 	// service; the others learn of changes from peers.
 	WatchersPerZone int
 	// ZoneFanout and RemoteFanout are the numbers of peers in the zone and
 	// outside to which a new revision is pushed.
 	ZoneFanout, RemoteFanout int
-	// PullEvery is the mean time between two pulls from a random peer.
-	PullEvery time.Duration
-	// RemotePulls is the share of pulls that go to another zone.
-	RemotePulls float64
+	// PullInterval is the mean time between two pulls from a random peer.
+	PullInterval time.Duration
+	// RemotePullShare is the share of pulls that go to another zone.
+	RemotePullShare float64
 	// PeerTimeout of one call to a peer.
 	PeerTimeout time.Duration
 	// RecentEntries is how many revisions' deltas are kept in memory.
 	RecentEntries int
-	// AskConcurrency bounds how many nodes InForce asks at once.
-	AskConcurrency int
+	// QueryConcurrency bounds how many nodes InForce asks at once.
+	QueryConcurrency int
 	// AssumeUnapplied takes a write whose reply was lost for one without
 	// effect, and AcceptOlder lets a node act on whatever table it heard of
 	// last. They switch safety off, only for the checker's own tests.
@@ -45,18 +45,18 @@
 	watch.ResyncInterval = time.Minute
 	watch.MaxBackoff = 5 * time.Second
 	return Options{
-		Timeout:         2 * time.Second,
-		MinBackoff:      200 * time.Millisecond,
-		MaxBackoff:      2 * time.Second,
-		Tries:           8,
-		WatchersPerZone: 2,
-		ZoneFanout:      3,
-		RemoteFanout:    1,
-		PullEvery:       time.Second,
-		RemotePulls:     0.25,
-		PeerTimeout:     time.Second,
-		RecentEntries:   128,
-		AskConcurrency:  32,
-		Watch:           watch,
+		Timeout:          2 * time.Second,
+		MinBackoff:       200 * time.Millisecond,
+		MaxBackoff:       2 * time.Second,
+		MaxAttempts:      8,
+		WatchersPerZone:  2,
+		ZoneFanout:       3,
+		RemoteFanout:     1,
+		PullInterval:     time.Second,
+		RemotePullShare:  0.25,
+		PeerTimeout:      time.Second,
+		RecentEntries:    128,
+		QueryConcurrency: 32,
+		Watch:            watch,
 	}
 }
--- a/internal/tablestore/propose.go
+++ b/internal/tablestore/propose.go
@@ -75,7 +75,7 @@
 // again repeats a step after a pause, or gives up after too many failures.
 func (p *proposal) again(step func()) {
 	p.failures++
-	if p.failures < p.store.options.Tries {
+	if p.failures < p.store.options.MaxAttempts {
 		p.store.Clock.AfterFunc(p.store.pause(p.failures), step)
 		return
 	}
--- a/internal/tablestore/store_test.go
+++ b/internal/tablestore/store_test.go
@@ -152,8 +152,8 @@
 		Expect(answers).To(HaveLen(len(c.nodes)))
 		for index, answer := range answers {
 			Expect(answer.Member.Name).To(Equal(c.members[index].Name))
-			Expect(answer.Known).To(Equal(index != 4))
-			if answer.Known {
+			Expect(answer.Answered).To(Equal(index != 4))
+			if answer.Answered {
 				Expect(answer.Revision).To(Equal(table.Revision(1)))
 			}
 		}
