--- a/internal/tablestore/catchup.go
+++ b/internal/tablestore/catchup.go
@@ -9,23 +9,24 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// maxSingleReads is the number of missing revisions up to which they are read
-// one by one; beyond it the newest snapshot and the whole log are read.
+// maxSingleReads is the largest number of missing revisions that are read one
+// by one; with more, the newest snapshot and the whole log are read.
 const maxSingleReads = 8
 
-// catchUpTries is how often a failed reading is repeated.
-const catchUpTries = 4
+// maxCatchUpAttempts is the number of failed readings after which the catch-up
+// ends with an error.
+const maxCatchUpAttempts = 4
 
-// catchUp reads missing revisions from the key-value service, for all who ask
-// together.
+// catchUp reads missing revisions from the key-value service. Concurrent
+// callers share one series of readings.
 type catchUp struct {
 	store *Store
 
-	mutex   sync.Mutex
-	running bool
-	target  table.Revision
-	tries   int
-	waiting []waiter
+	mutex    sync.Mutex
+	running  bool
+	target   table.Revision
+	failures int
+	waiting  []waiter
 }
 
 type waiter struct {
@@ -35,8 +36,9 @@
 
 var errNotCaughtUp = eris.New("the revision could not be read from the key-value service")
 
-// to reads up to the target revision. Done as in package outside.
-func (c *catchUp) to(target table.Revision, done func(error)) {
+// readTo reads all revisions up to the target. done follows the callback
+// contract of package outside.
+func (c *catchUp) readTo(target table.Revision, done func(error)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.waiting = append(c.waiting, waiter{target: target, done: done})
@@ -45,12 +47,12 @@
 		return
 	}
 	c.running = true
-	c.tries = 0
-	c.store.Clock.AfterFunc(0, c.next)
+	c.failures = 0
+	c.store.Clock.AfterFunc(0, c.readNext)
 }
 
-// next reads what is missing next, or ends.
-func (c *catchUp) next() {
+// readNext starts the next reading, or finishes when the target is reached.
+func (c *catchUp) readNext() {
 	revision := c.store.Revision()
 	c.mutex.Lock()
 	missing := c.target - revision
@@ -69,12 +71,12 @@
 	c.store.KeyValues.Range(logKey(revision), c.store.options.Timeout, func(result outside.RangeResult, err error) {
 		switch {
 		case err != nil:
-			c.failed(err)
+			c.retryAfter(err)
 		case len(result.KeyValues) == 0 && c.store.Revision() < revision:
 			c.readSnapshot()
 		default:
-			c.takeEntries(result.KeyValues)
-			c.advanced(revision)
+			c.applyEntries(result.KeyValues)
+			c.continueAfter(revision)
 		}
 	})
 }
@@ -82,11 +84,11 @@
 func (c *catchUp) readSnapshot() {
 	c.store.KeyValues.Range(snapshotPrefix, c.store.options.Timeout, func(result outside.RangeResult, err error) {
 		if err != nil {
-			c.failed(err)
+			c.retryAfter(err)
 			return
 		}
 		if count := len(result.KeyValues); count > 0 {
-			c.takeSnapshot(result.KeyValues[count-1])
+			c.installSnapshot(result.KeyValues[count-1])
 		}
 		c.readLog()
 	})
@@ -96,64 +98,67 @@
 	before := c.store.Revision()
 	c.store.KeyValues.Range(logPrefix, c.store.options.Timeout, func(result outside.RangeResult, err error) {
 		if err != nil {
-			c.failed(err)
+			c.retryAfter(err)
 			return
 		}
-		c.takeEntries(result.KeyValues)
-		c.advanced(before + 1)
+		c.applyEntries(result.KeyValues)
+		c.continueAfter(before + 1)
 	})
 }
 
-func (c *catchUp) takeSnapshot(keyValue outside.KeyValue) {
+func (c *catchUp) installSnapshot(keyValue outside.KeyValue) {
 	record, err := decodeRecord[snapshotRecord](keyValue.Value)
 	if err != nil {
-		c.store.Log.Error().Err(err).Str("key", keyValue.Key).Msg("unreadable table snapshot")
+		c.store.Log.Error().Err(err).Str("key", keyValue.Key).Msg("table snapshot can't be decoded")
 		return
 	}
-	c.store.takeSnapshot(record.Revision, record.Rows)
+	c.store.installSnapshot(record.Revision, record.Rows)
 }
 
-// takeEntries takes log records in order of key, which is that of revision.
-func (c *catchUp) takeEntries(keyValues []outside.KeyValue) {
+// applyEntries applies the log records newer than the present revision. Their
+// keys, and so the records, are in order of revision. It stops at the first
+// record that can't be decoded.
+func (c *catchUp) applyEntries(keyValues []outside.KeyValue) {
 	entries := make([]LogEntry, 0, len(keyValues))
-	oldest := logKey(c.store.Revision())
+	presentKey := logKey(c.store.Revision())
 	for _, keyValue := range keyValues {
-		if keyValue.Key <= oldest {
+		if keyValue.Key <= presentKey {
 			continue
 		}
 		entry, err := decodeRecord[LogEntry](keyValue.Value)
 		if err != nil {
-			c.store.Log.Error().Err(err).Str("key", keyValue.Key).Msg("unreadable table log entry")
+			c.store.Log.Error().Err(err).Str("key", keyValue.Key).Msg("table log entry can't be decoded")
 			break
 		}
 		entries = append(entries, entry)
 	}
-	c.store.take(entries)
+	c.store.applyEntries(entries)
 }
 
-// advanced goes on if the reading reached the revision, else counts a failure.
-func (c *catchUp) advanced(revision table.Revision) {
+// continueAfter starts the next reading if the last one reached the revision,
+// else it counts a failure.
+func (c *catchUp) continueAfter(revision table.Revision) {
 	if c.store.Revision() < revision {
-		c.failed(errNotCaughtUp)
+		c.retryAfter(errNotCaughtUp)
 		return
 	}
-	c.next()
+	c.readNext()
 }
 
-func (c *catchUp) failed(err error) {
+func (c *catchUp) retryAfter(err error) {
 	c.mutex.Lock()
-	c.tries++
-	tries := c.tries
+	c.failures++
+	failures := c.failures
 	c.mutex.Unlock()
-	if tries >= catchUpTries {
+	if failures >= maxCatchUpAttempts {
 		c.finish(err)
 		return
 	}
-	c.store.Clock.AfterFunc(c.store.pause(tries), c.next)
+	c.store.Clock.AfterFunc(c.store.backoff(failures), c.readNext)
 }
 
-// finish answers everybody; those whose revision was reached anyway, by a
-// peer's push, with success.
+// finish calls the callbacks of all waiters. Those whose revision was reached
+// in the meantime, such as by a peer's push, succeed even after an error.
 func (c *catchUp) finish(err error) {
 	c.mutex.Lock()
 	waiting := c.waiting
--- a/internal/tablestore/cluster_test.go
+++ b/internal/tablestore/cluster_test.go
@@ -29,7 +29,7 @@
 func (v fixedView) Self() membership.Member      { return v.self }
 func (v fixedView) Members() []membership.Member { return v.members }
 
-// cluster is a set of simulated nodes with one key-value service.
+// cluster is a set of simulated nodes that share a key-value service.
 type cluster struct {
 	loop    *simulation.Loop
 	network *simulation.Network
@@ -38,16 +38,18 @@
 	kv      *keyvalue.Store
 	members []membership.Member
 	nodes   []*node
-	// starts counts the nodes started.
-	starts int
-	// conditions of the network between nodes.
+	// startCount counts the starts of nodes; it gives each its incarnation.
+	startCount int
+	// conditions of the network between nodes; messages to and from the
+	// key-value service are only delayed, by 1 ms.
 	conditions simulation.Conditions
 	options    Options
-	// reversals are breaches of the revisions' order.
-	reversals []string
+	// regressions describe notifications of subscribers whose revision was not
+	// higher than that of the one before.
+	regressions []string
 }
 
-// node is one start of a node.
+// node is one incarnation of a node.
 type node struct {
 	process *simulation.Process
 	store   *Store
@@ -83,13 +85,13 @@
 	return c
 }
 
-// start starts a node, in place of an earlier start of it.
+// start starts a node and kills its earlier incarnation, if there is one.
 func (c *cluster) start(index int) {
 	if earlier := c.nodes[index]; earlier != nil {
 		earlier.process.Kill()
 	}
-	c.starts++
-	c.members[index].Incarnation = fmt.Sprint(c.starts)
+	c.startCount++
+	c.members[index].Incarnation = fmt.Sprint(c.startCount)
 	member := c.members[index]
 	process := simulation.NewProcess(c.loop, member.Name)
 	store := New(Dependencies{
@@ -104,7 +106,7 @@
 	newest := table.Revision(0)
 	store.Subscribe(func(snapshot *table.Snapshot) {
 		if snapshot.Revision() <= newest {
-			c.reversals = append(c.reversals, fmt.Sprintf("%s: %d after %d", member.Name, snapshot.Revision(), newest))
+			c.regressions = append(c.regressions, fmt.Sprintf("%s: %d after %d", member.Name, snapshot.Revision(), newest))
 		}
 		newest = snapshot.Revision()
 	})
@@ -112,12 +114,12 @@
 	store.Start()
 }
 
-const forbiddenRow = "forbidden"
+const invalidRow = "forbidden"
 
 func validateForTest(rows []table.Row) []table.Problem {
 	for index := range rows {
-		if rows[index].Name == forbiddenRow {
-			return []table.Problem{{Row: forbiddenRow}}
+		if rows[index].Name == invalidRow {
+			return []table.Problem{{Row: invalidRow}}
 		}
 	}
 	return nil
@@ -127,7 +129,7 @@
 	return table.Row{Name: name, Kind: table.KindModel, Weight: weight}
 }
 
-// propose runs an edit to its end.
+// propose proposes an edit and waits for its outcome.
 func (c *cluster) propose(index int, edit Edit) Outcome {
 	GinkgoHelper()
 	var outcome *Outcome
@@ -137,7 +139,7 @@
 	return *outcome
 }
 
-// heads are the accepted edits by the service's own records.
+// heads returns the accepted edits, as recorded by the key-value service.
 func (c *cluster) heads() ([]LogEntry, error) {
 	var entries []LogEntry
 	for _, record := range c.kv.Records(0) {
@@ -152,9 +154,9 @@
 	return entries, nil
 }
 
-// disagreement describes the first node whose table is not the one that the
-// service's records lead to.
-func (c *cluster) disagreement() string {
+// divergence describes the first node whose table differs from the one that the
+// edits recorded by the key-value service lead to; empty if there is none.
+func (c *cluster) divergence() string {
 	entries, err := c.heads()
 	if err != nil {
 		return err.Error()
--- a/internal/tablestore/codec.go
+++ b/internal/tablestore/codec.go
@@ -8,10 +8,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxDecodedBytes bounds the memory that one record may expand to.
+// maxDecodedBytes bounds the decompressed size of one record.
 const maxDecodedBytes = 64 << 20
 
-// encodeRecord writes a record as compressed gob.
+// encodeRecord encodes a record as gob, compressed with S2.
 func encodeRecord(record any) ([]byte, error) {
 	var buffer bytes.Buffer
 	if err := gob.NewEncoder(&buffer).Encode(record); err != nil {
@@ -20,7 +20,8 @@
 	return s2.EncodeBetter(nil, buffer.Bytes()), nil
 }
 
-// decodeRecord reads what encodeRecord wrote.
+// decodeRecord decodes the output of encodeRecord. It fails if the record is
+// malformed or larger than maxDecodedBytes.
 func decodeRecord[Record any](value []byte) (Record, error) {
 	var record Record
 	size, err := s2.DecodedLen(value)
--- a/internal/tablestore/distribute.go
+++ b/internal/tablestore/distribute.go
@@ -9,33 +9,33 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// push sends new entries to some peers, who push them on in turn.
+// push sends new entries to random peers, which push them on in turn.
 func (s *Store) push(entries []LogEntry) {
 	message := PushMessage{Sender: s.Members.Self().PeerAddress, Entries: entries}
 	s.mutex.Lock()
-	targets := s.drawLocked(s.zonePeers, s.options.ZoneFanout)
-	targets = append(targets, s.drawLocked(s.remotePeers, s.options.RemoteFanout)...)
+	targets := s.sampleLocked(s.zonePeers, s.options.ZoneFanout)
+	targets = append(targets, s.sampleLocked(s.remotePeers, s.options.RemoteFanout)...)
 	s.mutex.Unlock()
 	for _, target := range targets {
 		s.Transport.Send(target.PeerAddress, message)
 	}
 }
 
-// drawLocked draws different members at random.
-func (s *Store) drawLocked(members []membership.Member, count int) []membership.Member {
+// sampleLocked returns up to count distinct members, chosen at random.
+func (s *Store) sampleLocked(members []membership.Member, count int) []membership.Member {
 	if len(members) <= count {
 		return append([]membership.Member(nil), members...)
 	}
-	drawn := make([]membership.Member, 0, count)
+	sample := make([]membership.Member, 0, count)
 	chosen := make(map[int]bool, count)
-	for len(drawn) < count {
+	for len(sample) < count {
 		index := s.Random.IntN(len(members))
 		if !chosen[index] {
 			chosen[index] = true
-			drawn = append(drawn, members[index])
+			sample = append(sample, members[index])
 		}
 	}
-	return drawn
+	return sample
 }
 
 func (s *Store) handlePush(_ string, message peer.Message, reply func(peer.Message, error)) {
@@ -44,14 +44,14 @@
 	if !ok || len(push.Entries) == 0 {
 		return
 	}
-	s.take(push.Entries)
+	s.applyEntries(push.Entries)
 	if s.Revision() < push.Entries[len(push.Entries)-1].Revision {
 		s.repair(push.Sender)
 	}
 }
 
-// repair pulls what is missing from the peer that is ahead, one pull at a
-// time.
+// repair pulls missing entries from a peer with a newer revision, unless
+// another repair is running.
 func (s *Store) repair(address string) {
 	s.mutex.Lock()
 	busy := s.repairing || s.stopped
@@ -67,24 +67,24 @@
 	})
 }
 
-// pull asks one peer for what is newer than the present revision; done is told
-// whether the peer answered.
+// pull requests all that is newer than the present revision from one peer;
+// answered reports whether the peer replied.
 func (s *Store) pull(address string, done func(answered bool)) {
 	request := PullRequest{Sender: s.Members.Self().PeerAddress, Revision: s.Revision()}
 	s.Transport.Call(address, request, s.options.PeerTimeout, func(message peer.Message, err error) {
 		reply, answered := message.(PullReply)
 		if err == nil && answered {
-			s.takeReply(reply)
+			s.applyPullReply(reply)
 		}
 		done(err == nil && answered)
 	})
 }
 
-func (s *Store) takeReply(reply PullReply) {
+func (s *Store) applyPullReply(reply PullReply) {
 	if reply.HasSnapshot {
-		s.takeSnapshot(reply.Revision, reply.Rows)
+		s.installSnapshot(reply.Revision, reply.Rows)
 	}
-	s.take(reply.Entries)
+	s.applyEntries(reply.Entries)
 	if reply.Loaded {
 		s.replica.setLoaded()
 	}
@@ -96,13 +96,13 @@
 		reply(nil, eris.New("not a pull request"))
 		return
 	}
-	reply(s.replyTo(request), nil)
+	reply(s.pullReplyTo(request), nil)
 	if request.Revision > s.Revision() {
 		s.repair(request.Sender)
 	}
 }
 
-func (s *Store) replyTo(request PullRequest) PullReply {
+func (s *Store) pullReplyTo(request PullRequest) PullReply {
 	entries, complete := s.replica.since(request.Revision)
 	if complete && !s.options.AcceptOlder {
 		answer := PullReply{Revision: s.Revision(), Loaded: s.Loaded(), Entries: entries}
@@ -112,28 +112,29 @@
 	return PullReply{Revision: snapshot.Revision(), Loaded: true, HasSnapshot: true, Rows: snapshot.Rows()}
 }
 
-// schedulePullLocked arms the next pull, between half and one and a half times
-// the period from now.
+// schedulePullLocked schedules the next pull after 0.5 to 1.5 times
+// PullInterval.
 func (s *Store) schedulePullLocked() {
 	if s.stopped {
 		return
 	}
-	pause := s.options.PullInterval/2 + time.Duration(s.Random.Int64N(int64(s.options.PullInterval)))
-	s.pullTimer = s.Clock.AfterFunc(pause, s.pullFromAnyone)
+	delay := s.options.PullInterval/2 + time.Duration(s.Random.Int64N(int64(s.options.PullInterval)))
+	s.pullTimer = s.Clock.AfterFunc(delay, s.pullFromRandomPeer)
 }
 
-func (s *Store) pullFromAnyone() {
+func (s *Store) pullFromRandomPeer() {
 	s.mutex.Lock()
-	target, found := s.drawPeerLocked()
+	target, found := s.randomPeerLocked()
 	s.schedulePullLocked()
 	s.mutex.Unlock()
 	if found {
-		s.pull(target.PeerAddress, func(answered bool) { s.pullElsewhere(target, answered) })
+		s.pull(target.PeerAddress, func(answered bool) { s.pullFromOtherZones(target, answered) })
 	}
 }
 
-// drawPeerLocked draws a peer, mostly of the own zone.
-func (s *Store) drawPeerLocked() (peer membership.Member, found bool) {
+// randomPeerLocked chooses a peer: from another zone with the probability
+// RemotePullShare, else from this node's zone.
+func (s *Store) randomPeerLocked() (peer membership.Member, found bool) {
 	peers := s.zonePeers
 	if len(peers) == 0 || (len(s.remotePeers) > 0 && s.Random.Float64() < s.options.RemotePullShare) {
 		peers = s.remotePeers
@@ -144,24 +145,24 @@
 	return peers[s.Random.IntN(len(peers))], true
 }
 
-// pullElsewhere asks some other peers at once when one did not answer, since
-// that one's zone may be cut off.
-func (s *Store) pullElsewhere(silent membership.Member, answered bool) {
+// pullFromOtherZones pulls from peers outside the zone of a peer that did not
+// answer, since that zone may be partitioned.
+func (s *Store) pullFromOtherZones(unresponsive membership.Member, answered bool) {
 	if answered {
 		return
 	}
 	s.mutex.Lock()
-	targets := s.drawLocked(s.zonePeers, pullsAfterSilence)
-	targets = append(targets, s.drawLocked(s.remotePeers, pullsAfterSilence)...)
+	targets := s.sampleLocked(s.zonePeers, pullsAfterTimeout)
+	targets = append(targets, s.sampleLocked(s.remotePeers, pullsAfterTimeout)...)
 	stopped := s.stopped
 	s.mutex.Unlock()
 	for _, target := range targets {
-		if target.Zone != silent.Zone && !stopped {
+		if target.Zone != unresponsive.Zone && !stopped {
 			s.pull(target.PeerAddress, func(bool) {})
 		}
 	}
 }
 
-// pullsAfterSilence is how many peers of the zone and of others are asked when
-// one did not answer.
-const pullsAfterSilence = 2
+// pullsAfterTimeout is the number of peers in this node's zone, and of peers
+// in other zones, that are considered for a pull after one did not answer.
+const pullsAfterTimeout = 2
--- a/internal/tablestore/history.go
+++ b/internal/tablestore/history.go
@@ -4,8 +4,9 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// History reads who changed what, newest first, at most limit records (0: all
-// that are kept). Done as in package outside.
+// History reads the records of accepted edits, newest first, at most limit of
+// them (0: all that are kept). done follows the callback contract of package
+// outside.
 func (s *Store) History(limit int, done func([]HistoryRecord, error)) {
 	s.KeyValues.Range(historyPrefix, s.options.Timeout, func(result outside.RangeResult, err error) {
 		if err != nil {
--- a/internal/tablestore/inforce.go
+++ b/internal/tablestore/inforce.go
@@ -7,7 +7,7 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// NodeRevision is the revision that one node acts on.
+// NodeRevision is the table revision that one node uses.
 type NodeRevision struct {
 	Member   membership.Member
 	Revision table.Revision
@@ -15,12 +15,12 @@
 	Answered bool
 }
 
-// InForce asks all members which revision they act on. Done as in package
-// platform; it receives the members in order of name.
+// InForce queries the revision that each member uses. done follows the callback
+// contract of package outside; it receives the members in order of name.
 func (s *Store) InForce(done func([]NodeRevision)) {
 	survey.Query[RevisionReply]{
 		Clock: s.Clock, Transport: s.Transport, Members: s.Members, Message: RevisionRequest{},
-		Timeout: s.options.PeerTimeout, Concurrency: s.options.QueryConcurrency, Local: s.ownRevision,
+		Timeout: s.options.PeerTimeout, Concurrency: s.options.QueryConcurrency, Local: s.localRevision,
 		ResponderID: func(reply RevisionReply) string { return reply.Member },
 	}.Run(func(answers []survey.Result[RevisionReply]) {
 		nodes := make([]NodeRevision, 0, len(answers))
@@ -31,10 +31,10 @@
 	})
 }
 
-func (s *Store) ownRevision() RevisionReply {
+func (s *Store) localRevision() RevisionReply {
 	return RevisionReply{Member: s.Members.Self().ID(), Revision: s.Revision()}
 }
 
 func (s *Store) handleRevision(_ string, _ peer.Message, reply func(peer.Message, error)) {
-	reply(s.ownRevision(), nil)
+	reply(s.localRevision(), nil)
 }
--- a/internal/tablestore/logreader.go
+++ b/internal/tablestore/logreader.go
@@ -2,8 +2,9 @@
 
 import "strings"
 
-// DecodeLogEntry decodes a key-value pair if it is an accepted edit of the
-// table's log, for those who follow the service's records.
+// DecodeLogEntry decodes a key-value pair of the table's log, for callers that
+// watch the key-value service themselves. It returns false for other keys and
+// for values that can't be decoded.
 func DecodeLogEntry(key string, value []byte) (LogEntry, bool) {
 	if !strings.HasPrefix(key, logPrefix) {
 		return LogEntry{}, false
--- a/internal/tablestore/messages.go
+++ b/internal/tablestore/messages.go
@@ -7,32 +7,33 @@
 
 // PushMessage carries accepted edits that are new to the sender.
 type PushMessage struct {
-	// Sender is the peer address to ask for what is missing.
+	// Sender is the peer address from which missing entries can be pulled.
 	Sender string
-	// Entries in order of revision, without gaps.
+	// Entries are in order of revision, without gaps.
 	Entries []LogEntry
 }
 
 // PullRequest asks for all that is newer than the sender's revision.
 type PullRequest struct {
+	// Sender is the peer address of the sender.
 	Sender   string
 	Revision table.Revision
 }
 
-// PullReply answers a PullRequest: with entries that follow the revision
-// asked from, or with a snapshot, or with neither if nothing is newer.
+// PullReply answers a PullRequest with the entries after the requested
+// revision, or with a snapshot, or with neither if nothing is newer.
 type PullReply struct {
 	// Revision of the answering node.
 	Revision table.Revision
-	// Loaded: the answering node has read the table at least once.
+	// Loaded is true if the answering node has read the table at least once.
 	Loaded  bool
 	Entries []LogEntry
-	// HasSnapshot: Rows are the whole table at Revision.
+	// HasSnapshot is true if Rows are the whole table at Revision.
 	HasSnapshot bool
 	Rows        []table.Row
 }
 
-// RevisionRequest asks which revision a node acts on.
+// RevisionRequest asks a node which table revision it uses.
 type RevisionRequest struct{}
 
 // RevisionReply answers a RevisionRequest.
--- a/internal/tablestore/options.go
+++ b/internal/tablestore/options.go
@@ -10,36 +10,38 @@
 type Options struct {
 	// Timeout of one call to the key-value service.
 	Timeout time.Duration
-	// MinBackoff and MaxBackoff bound the pause before a failed call is
+	// MinBackoff and MaxBackoff bound the delay before a failed call is
 	// repeated.
 	MinBackoff, MaxBackoff time.Duration
-	// MaxAttempts is how many calls to the key-value service one proposal may make
-	// that fail.
+	// MaxAttempts is the number of failed calls to the key-value service after
+	// which a proposal ends.
 	MaxAttempts int
-	// WatchersPerZone is how many members of each zone watch the key-value
-	// service; the others learn of changes from peers.
+	// WatchersPerZone is the number of members in each zone that watch the
+	// key-value service; the others receive changes from peers.
 	WatchersPerZone int
-	// ZoneFanout and RemoteFanout are the numbers of peers in the zone and
-	// outside to which a new revision is pushed.
+	// ZoneFanout and RemoteFanout are the numbers of peers inside and outside
+	// the node's zone to which a new revision is pushed.
 	ZoneFanout, RemoteFanout int
 	// PullInterval is the mean time between two pulls from a random peer.
 	PullInterval time.Duration
-	// RemotePullShare is the share of pulls that go to another zone.
+	// RemotePullShare is the share of pulls that go to another zone, 0 to 1.
 	RemotePullShare float64
 	// PeerTimeout of one call to a peer.
 	PeerTimeout time.Duration
-	// RecentEntries is how many revisions' deltas are kept in memory.
+	// RecentEntries is the number of revisions whose deltas are kept in memory.
 	RecentEntries int
-	// QueryConcurrency bounds how many nodes InForce asks at once.
+	// QueryConcurrency is the number of nodes that InForce queries at once.
 	QueryConcurrency int
-	// AssumeUnapplied takes a write whose reply was lost for one without
-	// effect, and AcceptOlder lets a node act on whatever table it heard of
-	// last. They switch safety off, only for the checker's own tests.
+	// AssumeUnapplied treats a write whose reply was lost as not applied, and
+	// AcceptOlder makes a node use the table it received last, even if its
+	// revision is older. Both disable safety checks so that the checker's tests
+	// can verify that it detects the resulting violations.
 	AssumeUnapplied, AcceptOlder bool
-	Watch                        keywatch.Options
+	// Watch configures the watch of the newest revision.
+	Watch keywatch.Options
 }
 
-// DefaultOptions returns the options used in a node.
+// DefaultOptions returns the options for production use.
 func DefaultOptions() Options {
 	watch := keywatch.DefaultOptions(headKey)
 	watch.ResyncInterval = time.Minute
--- a/internal/tablestore/properties_test.go
+++ b/internal/tablestore/properties_test.go
@@ -17,7 +17,8 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// editModel is the table as a register: the state is its revision.
+// editModel models the table as a compare-and-swap register whose state is the
+// revision.
 var editModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{table.Revision(0)} },
 	Step: func(state, input, output any) []any {
@@ -45,10 +46,11 @@
 	},
 }
 
-// never is the time at which an operation of unknown outcome ends.
-const never = math.MaxInt64
+// neverReturned is the return time of an operation whose outcome is unknown: it
+// may take effect at any later time.
+const neverReturned = math.MaxInt64
 
-// recorder keeps the history of the edits as their callers saw it.
+// recorder records the proposed edits and the outcomes that callers received.
 type recorder struct {
 	cluster    *cluster
 	operations []*porcupine.Operation
@@ -58,7 +60,7 @@
 func (r *recorder) propose(index int, base table.Revision, weight int) {
 	operation := &porcupine.Operation{
 		ClientId: index, Input: base, Call: r.cluster.loop.Now().UnixNano(),
-		Output: Outcome{Code: result.WriteAmbiguous}, Return: never,
+		Output: Outcome{Code: result.WriteAmbiguous}, Return: neverReturned,
 	}
 	r.operations = append(r.operations, operation)
 	edit := Edit{Base: base, Changed: []table.Row{row(fmt.Sprint(weight%5), weight)}}
@@ -79,7 +81,7 @@
 	return history
 }
 
-var faultsToDraw = []keyvalue.Faults{
+var possibleFaults = []keyvalue.Faults{
 	{},
 	{Outage: true},
 	{LostReplies: 0.5},
@@ -100,8 +102,8 @@
 	}
 }
 
-// checkEdits draws faults and edits and compares what callers and nodes saw
-// with the service's own records.
+// checkEdits runs random edits under random faults, then compares the outcomes
+// that callers received and the nodes' tables with the service's own records.
 func checkEdits(t *rapid.T) {
 	recentEntries := rapid.SampledFrom([]int{1, 2, DefaultOptions().RecentEntries}).Draw(t, "recent entries")
 	c := newCluster(rapid.Uint64().Draw(t, "seed"), 2, 3, recentEntries)
@@ -110,7 +112,7 @@
 		index := rapid.IntRange(0, len(c.nodes)-1).Draw(t, "node")
 		switch rapid.IntRange(0, 9).Draw(t, "action") {
 		case 0:
-			c.kv.SetFaults(rapid.SampledFrom(faultsToDraw).Draw(t, "faults"))
+			c.kv.SetFaults(rapid.SampledFrom(possibleFaults).Draw(t, "faults"))
 		case 1:
 			c.conditions = drawConditions(t)
 		case 2:
@@ -131,15 +133,15 @@
 		n.process.Resume()
 	}
 	c.loop.RunFor(2 * time.Minute)
-	judge(t, c, r)
+	checkHistory(t, c, r)
 }
 
-func judge(t *rapid.T, c *cluster, r *recorder) {
-	if len(c.reversals) > 0 {
-		t.Fatalf("reversals: %v", c.reversals)
+func checkHistory(t *rapid.T, c *cluster, r *recorder) {
+	if len(c.regressions) > 0 {
+		t.Fatalf("revision regressions: %v", c.regressions)
 	}
-	if disagreement := c.disagreement(); disagreement != "" {
-		t.Fatal(disagreement)
+	if divergence := c.divergence(); divergence != "" {
+		t.Fatal(divergence)
 	}
 	entries, err := c.heads()
 	if err != nil {
@@ -152,10 +154,10 @@
 	for token, outcome := range r.outcomes {
 		revision, applied := written[token]
 		if applied != (outcome.Code == result.OK) && outcome.Code != result.WriteAmbiguous {
-			t.Fatalf("told %s, applied: %t", outcome.Code.Name(), applied)
+			t.Fatalf("outcome %s, applied: %t", outcome.Code.Name(), applied)
 		}
 		if applied && revision != outcome.Revision {
-			t.Fatalf("told revision %d, is %d", outcome.Revision, revision)
+			t.Fatalf("outcome has revision %d, the log has %d", outcome.Revision, revision)
 		}
 	}
 	if !porcupine.CheckOperations(editModel.ToModel(), r.history()) {
@@ -164,9 +166,9 @@
 }
 
 var _ = Describe("Edits and distribution", func() {
-	It("hold under any faults", func() { rapid.Check(GinkgoT(), checkEdits) })
+	It("are linearizable and converge under random faults", func() { rapid.Check(GinkgoT(), checkEdits) })
 
-	It("are judged by a model that tells a wrong history", func() {
+	It("are checked with a model that rejects two accepted edits of the same base", func() {
 		accepted := Outcome{Code: result.OK, Revision: 1}
 		history := []porcupine.Operation{
 			{ClientId: 0, Input: table.Revision(0), Call: 0, Output: accepted, Return: 10},
--- a/internal/tablestore/propose.go
+++ b/internal/tablestore/propose.go
@@ -11,36 +11,38 @@
 
 // Edit is a proposed change of the table.
 type Edit struct {
-	// Base is the revision that the operator looked at.
+	// Base is the revision that the edit was made on.
 	Base table.Revision
-	// Changed rows, new or replaced whole.
+	// Changed rows; each is added or replaces the row of its name as a whole.
 	Changed []table.Row
-	// Removed names; unknown ones are ignored.
+	// Removed are names of rows; names that the table lacks are ignored.
 	Removed []string
 	Author  string
 	Comment string
 }
 
-// Outcome is what a proposal came to.
+// Outcome is the result of a proposal.
 type Outcome struct {
 	// Code is one of result.OK, result.RevisionConflict, result.InvalidTable,
-	// result.StoreUnavailable (proved not applied) and result.WriteAmbiguous.
+	// result.StoreUnavailable (the edit was certainly not applied),
+	// result.WriteAmbiguous and result.Internal.
 	Code result.Code
-	// Revision is the accepted one; for a conflict the present one; for an
-	// ambiguous write the one it may have become.
+	// Revision is the accepted revision; after a conflict the present one;
+	// after an ambiguous write the one that the edit may have become.
 	Revision table.Revision
-	// Token is unique to the proposal and stands in the log if it was applied.
+	// Token is unique to the proposal and is in the log if the edit was applied.
 	Token string
 	// Problems of an invalid table.
 	Problems []table.Problem
-	// Concurrent edits accepted since the base, for a conflict; empty if they
-	// are not known here any more.
+	// Concurrent are the edits accepted since the base, after a conflict; empty
+	// if this node no longer keeps them all.
 	Concurrent []LogEntry
 }
 
-// Propose tries to make an edit the next revision. Done as in package
-// platform. Acceptance is told only once it is durable. An edit that changes
-// nothing is accepted as its base.
+// Propose tries to make an edit the next revision. done follows the callback
+// contract of package outside; it receives result.OK only once the edit is
+// durable. An edit that changes nothing is accepted with the revision of its
+// base.
 func (s *Store) Propose(edit Edit, done func(Outcome)) {
 	s.mutex.Lock()
 	s.tokens++
@@ -50,7 +52,8 @@
 	proposal.readHead()
 }
 
-// proposal is one edit on its way. It has one call under way at a time.
+// proposal is an edit in progress. It makes one call at a time to the key-value
+// service.
 type proposal struct {
 	store *Store
 	edit  Edit
@@ -58,11 +61,11 @@
 	done  func(Outcome)
 
 	failures int
-	// ambiguous: a write was sent whose outcome is not known.
-	ambiguous   bool
-	baseHead    int64
-	entry       LogEntry
-	transaction outside.Transaction
+	// ambiguous is true after a write whose outcome is unknown.
+	ambiguous       bool
+	baseModRevision int64
+	entry           LogEntry
+	transaction     outside.Transaction
 }
 
 func (p *proposal) finish(outcome Outcome) {
@@ -72,11 +75,12 @@
 	p.done(outcome)
 }
 
-// again repeats a step after a pause, or gives up after too many failures.
-func (p *proposal) again(step func()) {
+// retry repeats a step after a backoff. After MaxAttempts failures it ends the
+// proposal.
+func (p *proposal) retry(step func()) {
 	p.failures++
 	if p.failures < p.store.options.MaxAttempts {
-		p.store.Clock.AfterFunc(p.store.pause(p.failures), step)
+		p.store.Clock.AfterFunc(p.store.backoff(p.failures), step)
 		return
 	}
 	if p.ambiguous {
@@ -86,7 +90,7 @@
 	p.finish(Outcome{Code: result.StoreUnavailable, Revision: p.store.Revision()})
 }
 
-// rangeHead reads the head; a missing one is revision 0.
+// rangeHead reads the head record; if there is none, the revision is 0.
 func (p *proposal) rangeHead(onError func(), onHead func(head headRecord, modRevision int64)) {
 	p.store.KeyValues.Range(headKey, p.store.options.Timeout, func(reading outside.RangeResult, err error) {
 		if err != nil {
@@ -95,7 +99,7 @@
 		}
 		head, modRevision, err := headOf(reading.KeyValues)
 		if err != nil {
-			p.store.Log.Error().Err(err).Msg("unreadable table head")
+			p.store.Log.Error().Err(err).Msg("table head can't be decoded")
 			onError()
 			return
 		}
@@ -112,17 +116,17 @@
 	return head, keyValue.ModRevision, err
 }
 
-// readHead finds out whether the base is the present revision.
+// readHead checks that the edit's base is the present revision.
 func (p *proposal) readHead() {
-	p.rangeHead(func() { p.again(p.readHead) }, func(head headRecord, modRevision int64) {
+	p.rangeHead(func() { p.retry(p.readHead) }, func(head headRecord, modRevision int64) {
 		if head.Entry.Revision != p.edit.Base {
-			p.conflict(head.Entry.Revision)
+			p.finishConflict(head.Entry.Revision)
 			return
 		}
-		p.baseHead = modRevision
-		p.store.catchUp.to(p.edit.Base, func(err error) {
+		p.baseModRevision = modRevision
+		p.store.catchUp.readTo(p.edit.Base, func(err error) {
 			if err != nil {
-				p.again(p.readHead)
+				p.retry(p.readHead)
 				return
 			}
 			p.prepare()
@@ -130,11 +134,11 @@
 	})
 }
 
-// prepare checks the edit against its base and builds the write.
+// prepare validates the table that the edit leads to and builds the write.
 func (p *proposal) prepare() {
 	base := p.store.Snapshot()
 	if base.Revision() != p.edit.Base {
-		p.conflict(base.Revision())
+		p.finishConflict(base.Revision())
 		return
 	}
 	delta := table.Delta{From: base.Revision(), To: base.Revision() + 1, Changed: p.edit.Changed, Removed: p.edit.Removed}
@@ -156,7 +160,7 @@
 		Revision: next.Revision(), Token: p.token, Author: p.edit.Author, Comment: p.edit.Comment,
 		Time: p.store.Clock.Now().UTC(), Delta: effective,
 	}
-	p.transaction, err = buildTransaction(p.entry, next, p.baseHead)
+	p.transaction, err = buildTransaction(p.entry, next, p.baseModRevision)
 	if err != nil {
 		p.store.Log.Error().Err(err).Msg("table edit can't be encoded")
 		p.finish(Outcome{Code: result.Internal, Revision: base.Revision()})
@@ -169,64 +173,65 @@
 	p.store.KeyValues.Transact(p.transaction, p.store.options.Timeout, func(reply outside.TransactionResult, err error) {
 		switch {
 		case err == nil && reply.Succeeded:
-			p.accepted()
+			p.finishAccepted()
 		case err == nil:
-			p.judgeCurrent(reply.Current)
+			p.resolveFromReply(reply.Current)
 		case errors.Is(err, outside.ErrNotApplied) && !p.ambiguous:
-			p.again(p.write)
+			p.retry(p.write)
 		case p.store.options.AssumeUnapplied:
 			p.finish(Outcome{Code: result.StoreUnavailable, Revision: p.store.Revision()})
 		default:
 			p.ambiguous = true
-			p.again(p.readBack)
+			p.retry(p.readBack)
 		}
 	})
 }
 
-func (p *proposal) judgeCurrent(current []outside.KeyValue) {
+func (p *proposal) resolveFromReply(current []outside.KeyValue) {
 	head, modRevision, err := headOf(current)
 	if err != nil {
-		p.again(p.readBack)
+		p.retry(p.readBack)
 		return
 	}
-	p.judge(head, modRevision)
+	p.resolveFromHead(head, modRevision)
 }
 
-// readBack finds out what became of a write whose reply was lost.
+// readBack reads the head to resolve a write whose outcome is unknown.
 func (p *proposal) readBack() {
-	p.rangeHead(func() { p.again(p.readBack) }, p.judge)
+	p.rangeHead(func() { p.retry(p.readBack) }, p.resolveFromHead)
 }
 
-// judge compares the present head with the write. If the head is unchanged the
-// write has had no effect, but still may: it is repeated as it is, and takes
-// effect once at most.
-func (p *proposal) judge(head headRecord, modRevision int64) {
+// resolveFromHead compares the present head with the write. If the head is
+// unchanged, the write has not been applied, but may still arrive: the same
+// transaction is repeated, and its compare lets it be applied at most once.
+func (p *proposal) resolveFromHead(head headRecord, modRevision int64) {
 	switch {
 	case head.Entry.Token == p.token:
-		p.accepted()
-	case modRevision == p.baseHead:
-		p.again(p.write)
+		p.finishAccepted()
+	case modRevision == p.baseModRevision:
+		p.retry(p.write)
 	case !p.ambiguous:
-		p.conflict(head.Entry.Revision)
+		p.finishConflict(head.Entry.Revision)
 	case head.Entry.Revision > p.entry.Revision:
 		p.readLog(head.Entry.Revision)
 	default:
-		p.conflict(head.Entry.Revision)
+		p.finishConflict(head.Entry.Revision)
 	}
 }
 
-// readLog finds out whose edit became the revision that this one aimed at.
+// readLog reads which edit became the revision that this one was proposed as.
+// It is used when the head is already newer.
 func (p *proposal) readLog(headRevision table.Revision) {
 	p.store.KeyValues.Range(logKey(p.entry.Revision), p.store.options.Timeout, func(reading outside.RangeResult, err error) {
 		if err != nil {
-			p.again(func() { p.readLog(headRevision) })
+			p.retry(func() { p.readLog(headRevision) })
 			return
 		}
-		p.judgeLog(reading.KeyValues, headRevision)
+		p.resolveFromLog(reading.KeyValues, headRevision)
 	})
 }
 
-func (p *proposal) judgeLog(keyValues []outside.KeyValue, headRevision table.Revision) {
+func (p *proposal) resolveFromLog(keyValues []outside.KeyValue, headRevision table.Revision) {
 	keyValue, exists := findKey(keyValues, logKey(p.entry.Revision))
 	if !exists {
 		p.finish(Outcome{Code: result.WriteAmbiguous, Revision: p.entry.Revision})
@@ -237,20 +242,21 @@
 	case err != nil:
 		p.finish(Outcome{Code: result.WriteAmbiguous, Revision: p.entry.Revision})
 	case entry.Token == p.token:
-		p.accepted()
+		p.finishAccepted()
 	default:
-		p.conflict(headRevision)
+		p.finishConflict(headRevision)
 	}
 }
 
-func (p *proposal) accepted() {
-	p.store.take([]LogEntry{p.entry})
+func (p *proposal) finishAccepted() {
+	p.store.applyEntries([]LogEntry{p.entry})
 	p.finish(Outcome{Code: result.OK, Revision: p.entry.Revision})
 }
 
-// conflict names the edits accepted since the base.
-func (p *proposal) conflict(headRevision table.Revision) {
-	p.store.catchUp.to(headRevision, func(error) {
+// finishConflict ends the proposal with a conflict and the edits accepted since
+// its base.
+func (p *proposal) finishConflict(headRevision table.Revision) {
+	p.store.catchUp.readTo(headRevision, func(error) {
 		outcome := Outcome{Code: result.RevisionConflict, Revision: max(headRevision, p.store.Revision())}
 		if entries, complete := p.store.replica.since(p.edit.Base); complete {
 			outcome.Concurrent = entries
--- a/internal/tablestore/records.go
+++ b/internal/tablestore/records.go
@@ -15,18 +15,19 @@
 	historyPrefix  = "table/history/"
 )
 
-// How much is kept in the key-value service.
+// Limits of the data kept in the key-value service.
 const (
 	// snapshotInterval is the number of revisions between snapshots.
 	snapshotInterval = 64
-	// snapshotsKept is the number of snapshots kept.
-	snapshotsKept = 2
-	// logKept is the number of revisions whose deltas are kept. It covers all
-	// revisions after the oldest snapshot kept.
-	logKept = 256
-	// historyKept is the number of revisions whose history is kept.
-	historyKept = 512
-	// maxHeadDeltaBytes is the largest encoded delta repeated in the head.
+	// maxSnapshots is the number of snapshots kept.
+	maxSnapshots = 2
+	// maxLogEntries is the number of revisions whose deltas are kept. It covers
+	// all revisions after the oldest snapshot kept.
+	maxLogEntries = 256
+	// maxHistoryRecords is the number of revisions whose history record is kept.
+	maxHistoryRecords = 512
+	// maxHeadDeltaBytes is the largest encoded log entry whose delta is
+	// repeated in the head.
 	maxHeadDeltaBytes = 64 << 10
 )
 
@@ -51,13 +52,13 @@
 	Delta   table.Delta
 }
 
-// HistoryRecord tells of one accepted edit without its rows.
+// HistoryRecord describes one accepted edit without the contents of its rows.
 type HistoryRecord struct {
 	Revision table.Revision
 	Author   string
 	Comment  string
 	Time     time.Time
-	// Changed and Removed are the names of rows, in order.
+	// Changed and Removed are names of rows, in order.
 	Changed []string
 	Removed []string
 }
@@ -72,11 +73,12 @@
 	return record
 }
 
-// headRecord names the newest revision. It repeats the newest entry, so that
-// who watches the head needs to read nothing else.
+// headRecord identifies the newest revision. It repeats the newest log entry,
+// so that watchers of the head need no further read.
 type headRecord struct {
 	Entry LogEntry
-	// DeltaOmitted: the delta is too large to be repeated here.
+	// DeltaOmitted is true if the encoded entry exceeds maxHeadDeltaBytes; its
+	// delta is then only in the log.
 	DeltaOmitted bool
 }
 
--- a/internal/tablestore/replica.go
+++ b/internal/tablestore/replica.go
@@ -6,17 +6,19 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// replica is a node's copy of the table: the newest snapshot, and the entries
-// that led to it. Its revision never goes down.
+// replica is a node's copy of the table: the newest snapshot and the latest
+// entries that led to it. Its revision never decreases, unless acceptOlder is
+// set.
 type replica struct {
 	mutex    sync.RWMutex
 	snapshot *table.Snapshot
-	// recent entries, without gaps, the last one being the snapshot's.
+	// recent are entries without gaps; the last one led to the snapshot.
 	recent []LogEntry
-	limit  int
-	// acceptOlder as in Options.
+	// limit is the maximum length of recent.
+	limit int
+	// acceptOlder is Options.AcceptOlder.
 	acceptOlder bool
-	// loaded: the table was read at least once, be it empty.
+	// loaded is true once the table was read, even if it was empty.
 	loaded bool
 }
 
@@ -42,10 +44,10 @@
 	r.loaded = true
 }
 
-// advance applies the entries that follow the present revision and returns
-// them. Entries must be in order; old ones are skipped and those after a gap
-// are left out.
-func (r *replica) advance(entries []LogEntry) (applied []LogEntry) {
+// apply applies the entries that follow the present revision and returns
+// them. Entries must be in order; those already applied and those after a gap
+// are skipped.
+func (r *replica) apply(entries []LogEntry) (applied []LogEntry) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, entry := range entries {
@@ -57,14 +59,14 @@
 			continue
 		}
 		r.snapshot = next
-		r.rememberLocked(entry)
+		r.appendRecentLocked(entry)
 		applied = append(applied, entry)
 	}
 	r.loaded = r.loaded || len(applied) > 0
 	return applied
 }
 
-func (r *replica) rememberLocked(entry LogEntry) {
+func (r *replica) appendRecentLocked(entry LogEntry) {
 	if len(r.recent) >= r.limit {
 		kept := r.recent[len(r.recent)-r.limit+1:]
 		r.recent = append(make([]LogEntry, 0, 2*r.limit), kept...)
@@ -72,7 +74,7 @@
 	r.recent = append(r.recent, entry)
 }
 
-// install replaces the table by a newer snapshot.
+// install replaces the table by a newer snapshot. It reports whether it did.
 func (r *replica) install(revision table.Revision, rows []table.Row) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -85,8 +87,8 @@
 	return true
 }
 
-// since returns the entries after a revision, and whether all are known. The
-// slice must not be changed.
+// since returns the entries after a revision, and whether all of them are still
+// kept. The slice must not be modified.
 func (r *replica) since(revision table.Revision) ([]LogEntry, bool) {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
--- a/internal/tablestore/store.go
+++ b/internal/tablestore/store.go
@@ -1,6 +1,6 @@
-// Package tablestore keeps the operators' table in the key-value service,
-// accepts edits by compare-and-swap on its revision, and brings each accepted
-// revision to all nodes.
+// Package tablestore stores the model table in the key-value service, accepts
+// edits by compare-and-swap on the table's revision, and distributes each
+// accepted revision to all nodes.
 package tablestore
 
 import (
@@ -18,10 +18,10 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// Validator checks the rows of a proposed table.
+// Validator returns the problems of a proposed table, none if it is valid.
 type Validator func(rows []table.Row) []table.Problem
 
-// Dependencies of a Store. Random is used by the store alone.
+// Dependencies of a Store. Random must not be shared with other users.
 type Dependencies struct {
 	Members   membership.View
 	KeyValues outside.KeyValueService
@@ -32,9 +32,9 @@
 	Log       zerolog.Logger
 }
 
-// Store is a node's access to the table; it implements table.View. What it
-// holds is kept over an outage of the key-value service and never goes back in
-// revision.
+// Store is a node's replica of the table; it implements table.View. The replica
+// stays available while the key-value service is unavailable, and its revision
+// never decreases.
 type Store struct {
 	Dependencies
 	options     Options
@@ -47,7 +47,7 @@
 	watching bool
 	stopped  bool
 	tokens   uint64
-	// repairing: a pull for missing entries is under way.
+	// repairing is true while a pull by repair is running.
 	repairing bool
 	pullTimer clock.Timer
 	// zonePeers and remotePeers are the other members in order of name.
@@ -56,8 +56,8 @@
 
 var _ table.View = (*Store)(nil)
 
-// New returns a store with an empty table, not started. It registers its
-// message handlers with the transport.
+// New returns a store with an empty table and registers its message handlers
+// with the transport. The store pulls and watches nothing before Start.
 func New(dependencies Dependencies, options Options) *Store {
 	store := &Store{Dependencies: dependencies, options: options, replica: newReplica(options.RecentEntries)}
 	store.replica.acceptOlder = options.AcceptOlder
@@ -70,14 +70,14 @@
 	return store
 }
 
-// Subscribe adds a function that is called with each newer table, in no
-// guaranteed order. It must be called before Start.
+// Subscribe adds a function that is called with newer tables. Calls are not
+// guaranteed to be in order of revision. Subscribe must be called before Start.
 func (s *Store) Subscribe(subscriber func(*table.Snapshot)) {
 	s.subscribers = append(s.subscribers, subscriber)
 }
 
-// Start begins to pull from peers; SetMembers decides whether this node
-// watches the key-value service.
+// Start starts the periodic pulls from peers, and the watch of the key-value
+// service if SetMembers chooses this node for it.
 func (s *Store) Start() {
 	s.SetMembers(s.Members.Members())
 	s.mutex.Lock()
@@ -85,7 +85,7 @@
 	s.schedulePullLocked()
 }
 
-// Stop ends all work in the background.
+// Stop stops the pulls and the watch.
 func (s *Store) Stop() {
 	s.mutex.Lock()
 	s.stopped = true
@@ -105,37 +105,39 @@
 // Revision implements table.View.
 func (s *Store) Revision() table.Revision { return s.replica.current().Revision() }
 
-// Snapshot returns the newest table known here.
+// Snapshot returns this node's newest table.
 func (s *Store) Snapshot() *table.Snapshot { return s.replica.current() }
 
-// Loaded reports whether the table was read at least once. Before that the
-// empty table only means that nothing is known.
+// Loaded reports whether the table was read at least once. Before that, an
+// empty table does not mean that there are no rows.
 func (s *Store) Loaded() bool { return s.replica.isLoaded() }
 
-// EntriesSince returns the accepted edits after a revision, and whether all of
-// them are still known here. The slice must not be changed.
+// EntriesSince returns the accepted edits after a revision, and whether this
+// node still keeps all of them. The slice must not be modified.
 func (s *Store) EntriesSince(revision table.Revision) ([]LogEntry, bool) {
 	return s.replica.since(revision)
 }
 
-// take applies entries and passes on those that were new.
-func (s *Store) take(entries []LogEntry) {
-	applied := s.replica.advance(entries)
+// applyEntries applies entries, pushes the new ones to peers and notifies
+// subscribers.
+func (s *Store) applyEntries(entries []LogEntry) {
+	applied := s.replica.apply(entries)
 	if len(applied) == 0 {
 		return
 	}
 	s.push(applied)
-	s.tellSubscribers()
+	s.notifySubscribers()
 }
 
-// takeSnapshot installs a newer table. It is not pushed on: peers pull it.
-func (s *Store) takeSnapshot(revision table.Revision, rows []table.Row) {
+// installSnapshot installs a newer table. Snapshots are not pushed; peers pull
+// them.
+func (s *Store) installSnapshot(revision table.Revision, rows []table.Row) {
 	if s.replica.install(revision, rows) {
-		s.tellSubscribers()
+		s.notifySubscribers()
 	}
 }
 
-func (s *Store) tellSubscribers() {
+func (s *Store) notifySubscribers() {
 	snapshot := s.replica.current()
 	s.Log.Debug().Int64("revision", int64(snapshot.Revision())).Msg("table in force")
 	for _, subscriber := range s.subscribers {
@@ -143,13 +145,14 @@
 	}
 }
 
-// pause returns a jittered pause that doubles with each try.
-func (s *Store) pause(tries int) time.Duration {
-	span := s.options.MinBackoff
-	for range tries {
-		span = min(2*span, s.options.MaxBackoff)
+// backoff returns the delay after a number of failures: MinBackoff doubled once
+// per failure, at most MaxBackoff, then drawn at random from the upper half.
+func (s *Store) backoff(failures int) time.Duration {
+	delay := s.options.MinBackoff
+	for range failures {
+		delay = min(2*delay, s.options.MaxBackoff)
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return span/2 + time.Duration(s.Random.Int64N(int64(span/2)+1))
+	return delay/2 + time.Duration(s.Random.Int64N(int64(delay/2)+1))
 }
--- a/internal/tablestore/store_test.go
+++ b/internal/tablestore/store_test.go
@@ -19,36 +19,38 @@
 		c = newCluster(1, 3, 5, DefaultOptions().RecentEntries)
 		c.loop.RunFor(5 * time.Second)
 	})
-	AfterEach(func() { Expect(c.reversals).To(BeEmpty()) })
+	AfterEach(func() { Expect(c.regressions).To(BeEmpty()) })
 
 	edit := func(base table.Revision, rows ...table.Row) Edit {
 		return Edit{Base: base, Changed: rows, Author: "operator", Comment: "why"}
 	}
 
-	It("brings an accepted edit to all nodes within seconds", func() {
+	It("distributes an accepted edit to all nodes within 2 s", func() {
 		var accepted bool
 		c.nodes[0].store.Propose(edit(0, row("a", 1)), func(o Outcome) { accepted = o.Code == result.OK })
 		c.loop.RunFor(2 * time.Second)
 		Expect(accepted).To(BeTrue())
-		Expect(c.disagreement()).To(BeEmpty())
+		Expect(c.divergence()).To(BeEmpty())
 	})
 
-	It("brings an edit in seconds to a node that only peers can tell, one of which is cut off", func() {
+	// Node 0 can't reach the key-value service, and node 1 is partitioned from all
+	// others, so node 0 has to get the edit from node 2 or 3 with lossy messages.
+	It("distributes an edit within 3 s to a node that depends on its peers, one of which is unreachable", func() {
 		for seed := range uint64(150) {
-			lonely := newCluster(seed, 4, 1, DefaultOptions().RecentEntries)
-			lonely.loop.RunFor(5 * time.Second)
-			lonely.network.Cut = func(from, to string) bool {
-				cutOff := from == "node-01" || to == "node-01"
-				return cutOff || (from == "node-00" && to == kvName) || (from == kvName && to == "node-00")
+			impaired := newCluster(seed, 4, 1, DefaultOptions().RecentEntries)
+			impaired.loop.RunFor(5 * time.Second)
+			impaired.network.Cut = func(from, to string) bool {
+				partitioned := from == "node-01" || to == "node-01"
+				return partitioned || (from == "node-00" && to == kvName) || (from == kvName && to == "node-00")
 			}
-			lonely.conditions.Loss = 0.2
-			lonely.nodes[2].store.Propose(edit(0, row("a", 1)), func(Outcome) {})
-			lonely.loop.RunFor(3 * time.Second)
-			Expect(lonely.nodes[0].store.Revision()).To(Equal(table.Revision(1)), "seed %d", seed)
+			impaired.conditions.Loss = 0.2
+			impaired.nodes[2].store.Propose(edit(0, row("a", 1)), func(Outcome) {})
+			impaired.loop.RunFor(3 * time.Second)
+			Expect(impaired.nodes[0].store.Revision()).To(Equal(table.Revision(1)), "seed %d", seed)
 		}
 	})
 
-	It("tells a conflict with the edits accepted since the base", func() {
+	It("reports a conflict with the edits accepted since the base", func() {
 		Expect(c.propose(0, edit(0, row("a", 1))).Code).To(Equal(result.OK))
 		outcome := c.propose(1, edit(0, row("b", 1)))
 		Expect(outcome.Code).To(Equal(result.RevisionConflict))
@@ -58,7 +60,7 @@
 		Expect(outcome.Concurrent[0].Delta.Changed).To(Equal([]table.Row{row("a", 1)}))
 	})
 
-	It("accepts one of two edits made at the same moment", func() {
+	It("accepts exactly one of two concurrent edits", func() {
 		codes := map[result.Code]int{}
 		for index := range 2 {
 			c.nodes[index].store.Propose(edit(0, row("a", 1+index)), func(o Outcome) { codes[o.Code]++ })
@@ -67,33 +69,33 @@
 		Expect(codes).To(Equal(map[result.Code]int{result.OK: 1, result.RevisionConflict: 1}))
 	})
 
-	It("refuses an invalid table without writing", func() {
-		outcome := c.propose(0, edit(0, row(forbiddenRow, 1)))
+	It("rejects an invalid table without writing", func() {
+		outcome := c.propose(0, edit(0, row(invalidRow, 1)))
 		Expect(outcome.Code).To(Equal(result.InvalidTable))
 		Expect(outcome.Problems).To(HaveLen(1))
 		Expect(c.nodes[0].store.Revision()).To(BeZero())
 	})
 
-	It("accepts an edit that changes nothing as its base", func() {
+	It("accepts an edit that changes nothing with the revision of its base", func() {
 		Expect(c.propose(0, edit(0, row("a", 1))).Revision).To(Equal(table.Revision(1)))
 		outcome := c.propose(0, edit(1, row("a", 1)))
 		Expect(outcome.Code).To(Equal(result.OK))
 		Expect(outcome.Revision).To(Equal(table.Revision(1)))
 	})
 
-	It("refuses in an outage, and goes on telling peers what was accepted", func() {
+	It("rejects edits during an outage of the service, and still distributes accepted ones", func() {
 		c.nodes[0].store.Propose(edit(0, row("a", 1)), func(Outcome) {})
 		c.loop.RunFor(5 * time.Millisecond)
 		c.kv.SetFaults(keyvalue.Faults{Outage: true})
 		c.loop.RunFor(5 * time.Second)
 		c.start(7)
 		c.loop.RunFor(10 * time.Second)
-		Expect(c.disagreement()).To(BeEmpty())
+		Expect(c.divergence()).To(BeEmpty())
 		Expect(c.nodes[7].store.Revision()).To(Equal(table.Revision(1)))
 		Expect(c.propose(0, edit(1, row("b", 1))).Code).To(Equal(result.StoreUnavailable))
 	})
 
-	DescribeTable("finds out what became of a write",
+	DescribeTable("determines the outcome of a write",
 		func(faults keyvalue.Faults, code result.Code, revision table.Revision) {
 			c.kv.SetFaults(faults)
 			outcome := c.propose(0, edit(0, row("a", 1)))
@@ -107,7 +109,7 @@
 		Entry("at a service slower than the timeout", keyvalue.Faults{Delay: 5 * time.Second}, result.StoreUnavailable, table.Revision(0)),
 	)
 
-	It("keeps a log, snapshots and history of bounded length", func() {
+	It("bounds the log, the snapshots and the history in the service", func() {
 		const edits = 600
 		for revision := range edits {
 			c.nodes[0].store.Propose(edit(table.Revision(revision), row(fmt.Sprint(revision%7), revision)), func(Outcome) {})
@@ -115,9 +117,9 @@
 		}
 		c.loop.RunFor(5 * time.Second)
 		Expect(c.nodes[14].store.Revision()).To(Equal(table.Revision(edits)))
-		Expect(c.kv.Range(logPrefix).KeyValues).To(HaveLen(logKept))
-		Expect(c.kv.Range(snapshotPrefix).KeyValues).To(HaveLen(snapshotsKept))
-		Expect(c.kv.Range(historyPrefix).KeyValues).To(HaveLen(historyKept))
+		Expect(c.kv.Range(logPrefix).KeyValues).To(HaveLen(maxLogEntries))
+		Expect(c.kv.Range(snapshotPrefix).KeyValues).To(HaveLen(maxSnapshots))
+		Expect(c.kv.Range(historyPrefix).KeyValues).To(HaveLen(maxHistoryRecords))
 		var history []HistoryRecord
 		c.nodes[3].store.History(10, func(records []HistoryRecord, err error) {
 			Expect(err).NotTo(HaveOccurred())
@@ -129,7 +131,7 @@
 		Expect(history[0].Changed).To(HaveLen(1))
 	})
 
-	It("brings up a cluster from the service alone", func() {
+	It("restores the table of a restarted cluster from the service alone", func() {
 		for revision := range 300 {
 			c.nodes[0].store.Propose(edit(table.Revision(revision), row(fmt.Sprint(revision), 1)), func(Outcome) {})
 			c.loop.RunFor(100 * time.Millisecond)
@@ -139,11 +141,11 @@
 		}
 		Expect(c.nodes[0].store.Loaded()).To(BeFalse())
 		c.loop.RunFor(10 * time.Second)
-		Expect(c.disagreement()).To(BeEmpty())
+		Expect(c.divergence()).To(BeEmpty())
 		Expect(c.nodes[0].store.Loaded()).To(BeTrue())
 	})
 
-	It("tells the revision in force at each node", func() {
+	It("reports the revision that each node uses", func() {
 		c.propose(0, edit(0, row("a", 1)))
 		c.nodes[4].process.Pause()
 		var answers []NodeRevision
@@ -159,7 +161,7 @@
 		}
 	})
 
-	It("catches up a node that was cut off", func() {
+	It("brings a node up to date after a network partition", func() {
 		c.network.Cut = func(from, to string) bool { return from == "node-04" || to == "node-04" }
 		for revision := range 200 {
 			c.nodes[0].store.Propose(edit(table.Revision(revision), row("a", revision+1)), func(Outcome) {})
@@ -168,10 +170,10 @@
 		Expect(c.nodes[4].store.Revision()).To(BeZero())
 		c.network.Cut = func(string, string) bool { return false }
 		c.loop.RunFor(5 * time.Second)
-		Expect(c.disagreement()).To(BeEmpty())
+		Expect(c.divergence()).To(BeEmpty())
 	})
 
-	It("converges with a tenth of the messages lost, repeated and late", func() {
+	It("converges with 10% of the messages lost, 10% duplicated and 10% late", func() {
 		c.conditions = simulation.Conditions{
 			Delay: time.Millisecond, Loss: 0.1, Duplication: 0.1, Late: 0.1, LateDelay: 3 * time.Second,
 		}
@@ -180,6 +182,6 @@
 			c.loop.RunFor(time.Second)
 		}
 		c.loop.RunFor(5 * time.Second)
-		Expect(c.disagreement()).To(BeEmpty())
+		Expect(c.divergence()).To(BeEmpty())
 	})
 })
--- a/internal/tablestore/transaction.go
+++ b/internal/tablestore/transaction.go
@@ -5,8 +5,9 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// buildTransaction returns the write that makes the entry the newest revision
-// if the head is still the one given. It drops what is no longer kept.
+// buildTransaction returns the transaction that makes the entry the newest
+// revision, provided that the head still has the given mod revision. It also
+// deletes records beyond the limits of what is kept.
 func buildTransaction(entry LogEntry, next *table.Snapshot, headModRevision int64) (outside.Transaction, error) {
 	encodedEntry, err := encodeRecord(entry)
 	if err != nil {
@@ -21,11 +22,11 @@
 	builder.put(headKey, head)
 	builder.operations = append(builder.operations, outside.Operation{Key: logKey(entry.Revision), Value: encodedEntry})
 	builder.put(historyKey(entry.Revision), entry.history())
-	builder.drop(logKey, entry.Revision-logKept)
-	builder.drop(historyKey, entry.Revision-historyKept)
+	builder.deleteExpired(logKey, entry.Revision-maxLogEntries)
+	builder.deleteExpired(historyKey, entry.Revision-maxHistoryRecords)
 	if entry.Revision%snapshotInterval == 0 {
 		builder.put(snapshotKey(entry.Revision), snapshotRecord{Revision: entry.Revision, Rows: next.Rows()})
-		builder.drop(snapshotKey, entry.Revision-snapshotsKept*snapshotInterval)
+		builder.deleteExpired(snapshotKey, entry.Revision-maxSnapshots*snapshotInterval)
 	}
 	return outside.Transaction{
 		Compares:   []outside.Compare{{Key: headKey, ModRevision: headModRevision}},
@@ -47,8 +48,9 @@
 	b.operations = append(b.operations, outside.Operation{Key: key, Value: value})
 }
 
-// drop deletes the record of a revision that is no longer kept.
-func (b *transactionBuilder) drop(keyOf func(table.Revision) string, revision table.Revision) {
+// deleteExpired adds the deletion of a revision's record; there is none for
+// revisions before the first.
+func (b *transactionBuilder) deleteExpired(keyOf func(table.Revision) string, revision table.Revision) {
 	if revision > 0 {
 		b.operations = append(b.operations, outside.Operation{Kind: outside.OperationDelete, Key: keyOf(revision)})
 	}
--- a/internal/tablestore/watch.go
+++ b/internal/tablestore/watch.go
@@ -5,11 +5,12 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// watchRankKey is the rendezvous key by which a zone's watchers are chosen.
+// watchRankKey is the rendezvous hashing key that selects a zone's watchers.
 const watchRankKey = "table/watchers"
 
-// SetMembers takes the live members; subscribe it to the Registry. The first
-// members of the zone in rendezvous order watch the key-value service.
+// SetMembers sets the live members; it should be subscribed to the membership
+// registry. The first WatchersPerZone members of each zone in rendezvous order
+// watch the key-value service.
 func (s *Store) SetMembers(members []membership.Member) {
 	self := s.Members.Self()
 	var zone, zonePeers, remotePeers []membership.Member
@@ -47,7 +48,7 @@
 	return false
 }
 
-// headWatch follows the head in the key-value service.
+// headWatch applies changes of the head record in the key-value service.
 type headWatch struct{ store *Store }
 
 // Snapshot implements keywatch.Handler.
@@ -75,14 +76,14 @@
 func (w headWatch) follow(keyValue outside.KeyValue) {
 	head, err := decodeRecord[headRecord](keyValue.Value)
 	if err != nil {
-		w.store.Log.Error().Err(err).Msg("unreadable table head")
+		w.store.Log.Error().Err(err).Msg("table head can't be decoded")
 		return
 	}
 	if !head.DeltaOmitted {
-		w.store.take([]LogEntry{head.Entry})
+		w.store.applyEntries([]LogEntry{head.Entry})
 	}
 	if w.store.Revision() < head.Entry.Revision {
-		w.store.catchUp.to(head.Entry.Revision, func(error) {})
+		w.store.catchUp.readTo(head.Entry.Revision, func(error) {})
 		return
 	}
 	w.store.replica.setLoaded()
