--- a/internal/table/change.go
+++ b/internal/table/change.go
@@ -2,6 +2,7 @@
 
 // ColumnChange is one column of a row that differs between two tables.
 type ColumnChange struct {
+	// Column is the name of the column.
 	Column string `json:"column"`
 	Before string `json:"before"`
 	After  string `json:"after"`
@@ -9,6 +10,7 @@
 
 // RowChange is the difference of one row between two tables.
 type RowChange struct {
+	// Row is the name of the row.
 	Row     string `json:"row"`
 	Added   bool   `json:"added,omitempty"`
 	Removed bool   `json:"removed,omitempty"`
@@ -16,14 +18,14 @@
 	Columns []ColumnChange `json:"columns,omitempty"`
 }
 
-// Changes lists the differences between two tables column by column, in order
-// of name.
+// Changes returns the differences between two tables column by column, in order
+// of the rows' names.
 func Changes(before, after []Row) []RowChange {
 	old, updated := byName(before), byName(after)
 	names := unionOfNames([3]map[string]*Row{old, updated})
 	var changes []RowChange
 	for _, name := range names {
-		if sameRow(old[name], updated[name]) {
+		if equalRows(old[name], updated[name]) {
 			continue
 		}
 		changes = append(changes, changeOf(name, old[name], updated[name]))
@@ -37,12 +39,12 @@
 		return change
 	}
 	for _, column := range columns {
-		was := ""
+		beforeText := ""
 		if before != nil {
-			was = column.get(before)
+			beforeText = column.get(before)
 		}
-		if is := column.get(after); was != is {
-			change.Columns = append(change.Columns, ColumnChange{Column: column.name, Before: was, After: is})
+		if afterText := column.get(after); beforeText != afterText {
+			change.Columns = append(change.Columns, ColumnChange{Column: column.name, Before: beforeText, After: afterText})
 		}
 	}
 	return change
--- a/internal/table/codec.go
+++ b/internal/table/codec.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Bounds of what is read.
+// Limits of the input.
 const (
 	// MaxInputBytes is the largest file or body accepted.
 	MaxInputBytes = 8 << 20
@@ -13,7 +13,7 @@
 	MaxRows = 20_000
 )
 
-// Format is a written form of the table.
+// Format is a serialization format of the table.
 type Format string
 
 // The formats.
@@ -35,7 +35,8 @@
 	}
 }
 
-// FormatOfContentType returns the format of a Content-Type header.
+// FormatOfContentType returns the format of a Content-Type header's value, and
+// false if there is none for it.
 func FormatOfContentType(contentType string) (Format, bool) {
 	mediaType, _, _ := strings.Cut(contentType, ";")
 	switch strings.ToLower(strings.TrimSpace(mediaType)) {
@@ -49,7 +50,8 @@
 	return "", false
 }
 
-// FormatOfFile returns the format that a file's name ends in.
+// FormatOfFile returns the format of a file by the extension of its name, and
+// false if there is none for it.
 func FormatOfFile(path string) (Format, bool) {
 	lower := strings.ToLower(path)
 	switch {
@@ -63,9 +65,9 @@
 	return "", false
 }
 
-// Decode reads a table and lists every problem of its form. The rows still
-// have to pass Validate. With problems the rows are incomplete and must not be
-// applied.
+// Decode parses a table and returns the problems found while parsing, at most
+// MaxProblems. If there are any, the rows are incomplete and must not be
+// applied. The rows are not checked with Validate.
 func Decode(format Format, data []byte) (Document, []Problem) {
 	var problems problemList
 	if len(data) > MaxInputBytes {
@@ -98,8 +100,8 @@
 	return document, problems.problems
 }
 
-// linesOf returns where the rows stand in the file; for a repeated name the
-// last line.
+// linesOf returns the line in the file of each row by name; for a repeated name
+// that of the last row.
 func linesOf(records []record) map[string]int {
 	lines := make(map[string]int, len(records))
 	for _, record := range records {
@@ -108,9 +110,9 @@
 	return lines
 }
 
-// DecodeValid reads a table and checks it: form first and, if that is sound,
-// the rules of Validate. When the form is not sound, the rules are checked as
-// well on the columns that could be read.
+// DecodeValid parses a table, checks it with Validate and returns the problems
+// of both, at most MaxProblems. Problems of Validate are left out for columns
+// that could not be parsed.
 func DecodeValid(format Format, data []byte, constraints Constraints) (Document, []Problem) {
 	document, problems := Decode(format, data)
 	list := problemList{problems: problems}
@@ -127,7 +129,7 @@
 	return document, list.problems
 }
 
-// Encode writes a table. CSV has no place for the revision.
+// Encode serializes a table. CSV can't represent the revision and omits it.
 func Encode(format Format, revision Revision, rows []Row) ([]byte, error) {
 	switch format {
 	case FormatYAML:
--- a/internal/table/column.go
+++ b/internal/table/column.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The names of the columns, the same in YAML, CSV and JSON.
+// Names of the columns, the same in YAML, CSV and JSON.
 const (
 	ColumnName        = "name"
 	ColumnKind        = "kind"
@@ -24,13 +24,13 @@
 	ColumnRepeatable  = "repeatable"
 )
 
-// Defaults of the columns that may be left out.
+// Defaults of optional columns.
 const (
 	DefaultPriority = 5
 	DefaultWeight   = 1
 )
 
-// What is allowed in a column, as shown to operators.
+// Descriptions of allowed values, as shown to operators in Problem.Allowed.
 const (
 	allowedSize       = `a size such as "14GiB", "400MB" or "4096"`
 	allowedDuration   = `a duration such as "30s" or "2m"`
@@ -40,17 +40,18 @@
 
 var errBoolean = errors.New("not a boolean")
 
-// column reads and writes one column of a row as text.
+// column converts one column of a row to and from text.
 type column struct {
 	name string
-	// optional columns may be left out or empty.
+	// optional columns may be missing or empty.
 	optional bool
-	allowed  string
-	get      func(row *Row) string
-	set      func(row *Row, text string) error
+	// allowed describes the allowed values.
+	allowed string
+	get     func(row *Row) string
+	set     func(row *Row, text string) error
 }
 
-// columns in the order in which they are written.
+// columns are all columns in the order in which they are written.
 var columns = []column{
 	textColumn(ColumnName, false, func(row *Row) *string { return &row.Name }),
 	{
@@ -85,6 +86,7 @@
 	},
 }
 
+// columnIndex maps the name of a column to its index in columns.
 var columnIndex = indexColumns()
 
 func indexColumns() map[string]int {
@@ -95,7 +97,8 @@
 	return index
 }
 
-// ColumnNames returns the names of all columns in the order of files.
+// ColumnNames returns the names of all columns in the order in which they are
+// written.
 func ColumnNames() []string {
 	names := make([]string, len(columns))
 	for position, column := range columns {
@@ -134,7 +137,8 @@
 	}
 }
 
-// parseBoolean accepts what spreadsheets write as well.
+// parseBoolean parses a boolean, also in the forms that spreadsheets write,
+// regardless of case.
 func parseBoolean(text string) (bool, error) {
 	switch strings.ToLower(text) {
 	case "true", "yes", "1":
--- a/internal/table/csv.go
+++ b/internal/table/csv.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// byteOrderMark is what spreadsheets put in front of UTF-8 files.
+// byteOrderMark is the prefix with which spreadsheets write UTF-8 files.
 var byteOrderMark = []byte("\xef\xbb\xbf")
 
-// readCSV reads a header and one row a record. Spreadsheets in some languages
-// write semicolons or tabs; the header tells.
+// readCSV reads a header and one row per record. It detects the delimiter from
+// the header, since spreadsheets in some locales write semicolons or tabs.
 func readCSV(data []byte, problems *problemList) []record {
 	data = bytes.TrimPrefix(data, byteOrderMark)
 	reader := csv.NewReader(bytes.NewReader(data))
--- a/internal/table/document.go
+++ b/internal/table/document.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// RowDocument is the written form of a row in YAML and JSON; CSV has the same
-// columns. Sizes and durations are text with a unit.
+// RowDocument is the serialized form of a row in YAML and JSON; CSV has the
+// same columns. Sizes and durations are text with a unit.
 type RowDocument struct {
 	Name        string `json:"name" yaml:"name"`
 	Kind        string `json:"kind" yaml:"kind"`
@@ -20,23 +20,23 @@
 	Repeatable  bool   `json:"repeatable" yaml:"repeatable"`
 }
 
-// TableDocument is the written form of a table in YAML and JSON.
+// TableDocument is the serialized form of a table in YAML and JSON.
 type TableDocument struct {
-	// Revision the rows were read at; 0 if not known.
+	// Revision at which the rows were read; 0 if unknown.
 	Revision Revision      `json:"revision,omitempty" yaml:"revision,omitempty"`
 	Rows     []RowDocument `json:"rows" yaml:"rows"`
 }
 
-// Document is a table as read from a file.
+// Document is a table parsed from a file.
 type Document struct {
-	// Revision the file says it was read at; 0 if it says nothing.
+	// Revision stated in the file; 0 if it states none.
 	Revision Revision
 	Rows     []Row
-	// lines of the rows in the file, by name.
+	// lines are the line numbers of the rows in the file, by name.
 	lines map[string]int
 }
 
-// NewRowDocument returns the written form of a row.
+// NewRowDocument returns the serialized form of a row.
 func NewRowDocument(row Row) RowDocument {
 	return RowDocument{
 		Name: row.Name, Kind: string(row.Kind), Base: row.Base, Version: row.Version,
@@ -48,7 +48,7 @@
 	}
 }
 
-// NewTableDocument returns the written form of a table.
+// NewTableDocument returns the serialized form of a table.
 func NewTableDocument(revision Revision, rows []Row) TableDocument {
 	document := TableDocument{Revision: revision, Rows: make([]RowDocument, len(rows))}
 	for index, row := range rows {
@@ -57,8 +57,9 @@
 	return document
 }
 
-// record is one row as read from a file, not yet understood.
+// record is one row of a file whose cells are not yet parsed.
 type record struct {
+	// line in the file, from 1; 0 if unknown.
 	line  int
 	cells []recordCell
 }
@@ -67,12 +68,12 @@
 type recordCell struct {
 	column string
 	text   string
-	// malformed cells hold something other than one value.
+	// malformed is true if the cell is not a single value, such as a list.
 	malformed bool
 }
 
-// decodeRecords turns records into rows. A row with a problem is returned as
-// far as it could be read, so that the checks of whole tables see it too.
+// decodeRecords parses records into rows. A row with problems is returned with
+// the columns that could be parsed, so that Validate can check these as well.
 func decodeRecords(records []record, problems *problemList) []Row {
 	rows := make([]Row, 0, len(records))
 	for _, record := range records {
@@ -86,10 +87,10 @@
 	name := record.name()
 	seen := make([]bool, len(columns))
 	for _, cell := range record.cells {
-		problem := Problem{Row: name, Line: record.line, Column: shorten(cell.column), Value: cell.text}
-		position, known := columnIndex[cell.column]
+		problem := Problem{Row: name, Line: record.line, Column: truncate(cell.column), Value: cell.text}
+		position, found := columnIndex[cell.column]
 		switch {
-		case !known:
+		case !found:
 			problem.Allowed = "the columns " + strings.Join(ColumnNames(), ", ")
 			problems.add(problem)
 		case seen[position]:
--- a/internal/table/json.go
+++ b/internal/table/json.go
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// jsonTable is a table in JSON whose rows are not yet understood.
+// jsonTable is a table in JSON whose cells are not yet parsed.
 type jsonTable struct {
 	Revision int64     `json:"revision"`
 	Rows     []jsonRow `json:"rows"`
 }
 
-// jsonRow keeps an object's members in order, repeated ones too.
+// jsonRow holds the members of an object in order, including repeated ones.
 type jsonRow []recordCell
 
-// UnmarshalJSON reads one object.
+// UnmarshalJSON implements json.Unmarshaler.
 func (r *jsonRow) UnmarshalJSON(data []byte) error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	start, err := decoder.Token()
--- a/internal/table/merge.go
+++ b/internal/table/merge.go
@@ -2,8 +2,8 @@
 
 import "sort"
 
-// RowPresence is the column name of a conflict about a whole row: one side
-// removed the row that the other changed.
+// RowPresence stands for the column in a conflict about a whole row, which one
+// side removed and the other changed.
 const RowPresence = "(row)"
 
 // Values of a conflict about a whole row.
@@ -16,17 +16,19 @@
 
 // Conflict is a value that two edits of the same table changed differently.
 type Conflict struct {
-	Row    string `json:"row"`
+	// Row is the name of the row.
+	Row string `json:"row"`
+	// Column is the name of the column, or RowPresence.
 	Column string `json:"column"`
-	// Base is the value both edits started from.
+	// Base is the value before both edits.
 	Base   string `json:"base"`
 	Mine   string `json:"mine"`
 	Theirs string `json:"theirs"`
 }
 
-// Merge merges two edits of the base row by row and column by column. With
-// conflicts there is no merged table. The merged rows are in order of name and
-// have still to pass Validate.
+// Merge merges two edits of the base row by row and column by column. It
+// returns either the merged rows, in order of name, or the conflicts. The
+// merged rows are not checked with Validate.
 func Merge(base, mine, theirs []Row) ([]Row, []Conflict) {
 	sides := [3]map[string]*Row{byName(base), byName(mine), byName(theirs)}
 	var merged []Row
@@ -67,12 +69,13 @@
 	return names
 }
 
-// mergeRow returns the merged row, nil if it is absent after the merge.
+// mergeRow returns the merged row; nil if the merged table lacks it or there
+// are conflicts.
 func mergeRow(name string, base, mine, theirs *Row) (*Row, []Conflict) {
 	switch {
-	case sameRow(mine, theirs), sameRow(base, theirs):
+	case equalRows(mine, theirs), equalRows(base, theirs):
 		return mine, nil
-	case sameRow(base, mine):
+	case equalRows(base, mine):
 		return theirs, nil
 	case mine == nil || theirs == nil:
 		return nil, []Conflict{{
@@ -85,7 +88,7 @@
 	return mergeColumns(name, base, mine, theirs)
 }
 
-func sameRow(a, b *Row) bool {
+func equalRows(a, b *Row) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
@@ -99,7 +102,8 @@
 	return presenceChanged
 }
 
-// mergeAddedRow is for a row that both sides added, with different columns.
+// mergeAddedRow returns the conflicts of a row that both sides added with
+// different values.
 func mergeAddedRow(name string, mine, theirs *Row) (*Row, []Conflict) {
 	var conflicts []Conflict
 	for _, column := range columns {
@@ -117,13 +121,13 @@
 	merged := *mine
 	var conflicts []Conflict
 	for _, column := range columns {
-		was, my, their := column.get(base), column.get(mine), column.get(theirs)
+		baseText, mineText, theirsText := column.get(base), column.get(mine), column.get(theirs)
 		switch {
-		case my == their || was == their:
-		case was == my:
+		case mineText == theirsText || baseText == theirsText:
+		case baseText == mineText:
 			copyColumn(&merged, theirs, column)
 		default:
-			conflicts = append(conflicts, Conflict{Row: name, Column: column.name, Base: was, Mine: my, Theirs: their})
+			conflicts = append(conflicts, Conflict{Row: name, Column: column.name, Base: baseText, Mine: mineText, Theirs: theirsText})
 		}
 	}
 	if len(conflicts) > 0 {
@@ -132,8 +136,8 @@
 	return &merged, nil
 }
 
-// copyColumn relies on each column reading what it writes, which the tests of
-// the codecs check.
+// copyColumn copies a column by way of its text. The error can be ignored
+// because each column parses the text that it formats, as the codec tests check.
 func copyColumn(to, from *Row, column column) {
 	_ = column.set(to, column.get(from))
 }
--- a/internal/table/problem.go
+++ b/internal/table/problem.go
@@ -5,28 +5,29 @@
 	"strings"
 )
 
-// MaxProblems bounds how many problems one check lists; the last one listed
-// then says that there are more.
+// MaxProblems is the largest number of problems that one check returns. The
+// last one of that many stands for all further problems.
 const MaxProblems = 1000
 
-// maxQuotedBytes bounds how much of a refused value is repeated.
-const maxQuotedBytes = 80
+// maxValueBytes is the length to which names and values are truncated in a
+// problem.
+const maxValueBytes = 80
 
-// Problem is one breach of a rule of the table.
+// Problem is one violation of a rule of the table.
 type Problem struct {
 	// Row is the name of the row; empty if it has none.
 	Row string `json:"row"`
-	// Line of the file, from 1; 0 if not known.
+	// Line in the file, from 1; 0 if unknown.
 	Line int `json:"line,omitempty"`
-	// Column is the name of the column; empty if the whole row is meant.
+	// Column is the name of the column; empty if the problem is not about one.
 	Column string `json:"column"`
-	// Value found, shortened.
+	// Value is the rejected value, truncated.
 	Value string `json:"value"`
-	// Allowed says what would be accepted.
+	// Allowed describes the allowed values.
 	Allowed string `json:"allowed"`
 }
 
-// String names row, column, value and what is allowed, in one line.
+// String formats the problem in one line.
 func (p Problem) String() string {
 	var text strings.Builder
 	if p.Line > 0 {
@@ -42,12 +43,12 @@
 	return text.String()
 }
 
-// InvalidError carries all problems of a refused table.
+// InvalidError is the error for a table that was rejected because of problems.
 type InvalidError struct {
 	Problems []Problem
 }
 
-// Error gives one line a problem.
+// Error returns one line per problem.
 func (e *InvalidError) Error() string {
 	lines := make([]string, len(e.Problems))
 	for index, problem := range e.Problems {
@@ -68,14 +69,14 @@
 	if len(l.problems) == MaxProblems-1 {
 		problem = Problem{Value: "more problems", Allowed: "only the first are listed"}
 	}
-	problem.Row = shorten(problem.Row)
-	problem.Value = shorten(problem.Value)
+	problem.Row = truncate(problem.Row)
+	problem.Value = truncate(problem.Value)
 	l.problems = append(l.problems, problem)
 }
 
-func shorten(text string) string {
-	if len(text) <= maxQuotedBytes {
+func truncate(text string) string {
+	if len(text) <= maxValueBytes {
 		return text
 	}
-	return strings.ToValidUTF8(text[:maxQuotedBytes], "") + "..."
+	return strings.ToValidUTF8(text[:maxValueBytes], "") + "..."
 }
--- a/internal/table/row.go
+++ b/internal/table/row.go
@@ -1,72 +1,74 @@
-// Package table holds the operators' table: its rows, their validation, the
-// revisions it goes through and the deltas between them.
+// Package table defines the table in which operators configure models and
+// adapters: its rows, file formats, validation, merging, and the revisions of
+// the table with the deltas between them.
 package table
 
 import "time"
 
-// Kind says what a row describes.
+// Kind is the kind of a row.
 type Kind string
 
-// The kinds of row.
+// Kinds of rows.
 const (
 	// KindModel is a base model with its own weights.
 	KindModel Kind = "model"
-	// KindAdapter is a small set of weights on top of a base model.
+	// KindAdapter is a small set of additional weights for a base model.
 	KindAdapter Kind = "adapter"
 )
 
-// Row is one model or adapter as the operators describe it. A row is immutable
-// once it is part of a revision.
+// Row is the configuration of one model or adapter. A row is immutable once it
+// is part of a revision.
 type Row struct {
-	// Name identifies the row and is what callers put in "model".
+	// Name identifies the row; callers pass it as "model".
 	Name string
 	Kind Kind
-	// Base names the row of the base model; only for adapters.
+	// Base is the name of the base model's row; only for adapters.
 	Base string
-	// Version of the weights; a change replaces replicas one by one.
+	// Version of the weights. After a change, replicas are replaced one by one.
 	Version string
 	// WeightBytes is the size of the weights in bytes.
 	WeightBytes int64
-	// Tenant owns the row.
+	// Tenant is the name of the tenant that owns the row.
 	Tenant string
-	// Priority from 0 (lowest) to 9; used when a request names none.
+	// Priority from 0 (lowest) to 9 of requests that state none.
 	Priority int
 	// Weight is the tenant-visible share when capacity is short; at least 1.
 	Weight int
-	// MinReplicas are kept loaded always. Adapters: replicas of the base that
-	// hold the adapter.
+	// MinReplicas is the number of replicas that are always kept loaded; for
+	// adapters, of replicas of the base that have the adapter loaded.
 	MinReplicas int
 	// MaxReplicas is the hard limit on loaded replicas; 0 disables the row.
 	MaxReplicas int
-	// MemoryBytes is the limit on one replica's memory, weights and KV cache
-	// together, in bytes. For adapters: the adapter's memory.
+	// MemoryBytes is the memory limit of one replica for weights and KV cache
+	// together, in bytes; for adapters, the memory of the adapter.
 	MemoryBytes int64
-	// TimeLimit is the longest time limit a caller may ask for, and the
+	// TimeLimit is the longest time limit that a caller may request, and the
 	// default.
 	TimeLimit time.Duration
-	// Repeatable says whether an attempt with unknown outcome may be repeated.
+	// Repeatable is true if an attempt with unknown outcome may be repeated.
 	Repeatable bool
 }
 
-// Revision numbers the table's states; it only grows. 0 is the empty table.
+// Revision is the number of a state of the table. It only increases; 0 is the
+// empty table.
 type Revision int64
 
 // Delta is the difference between two revisions.
 type Delta struct {
 	From, To Revision
-	// Changed rows, in order of name.
+	// Changed are the rows added or changed, in order of name.
 	Changed []Row
-	// Removed names, in order.
+	// Removed are the names of the rows removed, in order.
 	Removed []string
 }
 
-// View is read access to the newest table known here. Implementations are safe
-// for concurrent use and never go back in revision.
+// View is read access to a node's newest table. Implementations are safe for
+// concurrent use, and their revision never decreases.
 type View interface {
-	// Row returns the row of that name.
+	// Row returns the row with the name, and whether there is one.
 	Row(name string) (Row, bool)
-	// Rows returns all rows in order of name. The slice must not be changed.
+	// Rows returns all rows in order of name. The slice must not be modified.
 	Rows() []Row
-	// Revision returns the revision the rows belong to.
+	// Revision returns the revision of the rows.
 	Revision() Revision
 }
--- a/internal/table/seed_test.go
+++ b/internal/table/seed_test.go
@@ -1,3 +1,3 @@
 package table_test
 
-import _ "github.com/hatchplank/hatchplank/internal/fixedseed" // property tests repeat
+import _ "github.com/hatchplank/hatchplank/internal/fixedseed" // makes property tests repeatable
--- a/internal/table/size.go
+++ b/internal/table/size.go
@@ -14,8 +14,8 @@
 	bytes  int64
 }
 
-// sizeUnits is ordered so that binary units are preferred when a size is
-// written.
+// sizeUnits is ordered so that FormatSize prefers binary units, and so that
+// ParseSize tries "B", the suffix of all others, last.
 var sizeUnits = []sizeUnit{
 	{"TiB", 1 << 40},
 	{"GiB", 1 << 30},
@@ -30,10 +30,12 @@
 
 var errSize = errors.New("not a size")
 
-// maxSizeDigits bounds the number in front of a size's unit.
+// maxSizeDigits is the largest length of a size without its unit.
 const maxSizeDigits = 24
 
-// ParseSize reads a size in bytes, such as "14GiB", "1.5 GB" or "4096".
+// ParseSize parses a size such as "14GiB", "1.5 GB" or "4096" and returns it in
+// bytes. It fails if the size is negative, not a whole number of bytes or
+// larger than an int64.
 func ParseSize(text string) (int64, error) {
 	number, unit := splitSize(strings.TrimSpace(text))
 	if number == "" || len(number) > maxSizeDigits || strings.Trim(number, "0123456789.") != "" {
@@ -67,7 +69,8 @@
 	return text[:cut], true
 }
 
-// FormatSize writes a size exactly, with the unit that gives the shortest text.
+// FormatSize formats a size in bytes exactly, with the unit that gives the
+// shortest text.
 func FormatSize(bytes int64) string {
 	shortest := strconv.FormatInt(bytes, 10) + "B"
 	for _, unit := range sizeUnits {
@@ -82,7 +85,7 @@
 	return shortest
 }
 
-// FormatDuration writes a duration without trailing zero units: "2m", not
+// FormatDuration formats a duration without trailing zero units: "2m", not
 // "2m0s".
 func FormatDuration(duration time.Duration) string {
 	text := duration.String()
--- a/internal/table/snapshot_test.go
+++ b/internal/table/snapshot_test.go
@@ -14,7 +14,7 @@
 var _ table.View = (*table.Snapshot)(nil)
 
 var _ = Describe("Snapshot", func() {
-	It("reaches any other by the delta between them and stays as it was", func() {
+	It("leads to any other snapshot by the delta between them, and is not modified", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			before := drawRows(t, "before")
 			from, to := table.NewSnapshot(3, before), table.NewSnapshot(5, drawRows(t, "after"))
@@ -23,23 +23,23 @@
 				t.Fatal(err)
 			}
 			if fmt.Sprint(reached.Rows()) != fmt.Sprint(to.Rows()) || reached.Revision() != 5 {
-				t.Fatalf("reached %v instead of %v", reached.Rows(), to.Rows())
+				t.Fatalf("rows are %v, expected %v", reached.Rows(), to.Rows())
 			}
 			for _, row := range to.Rows() {
-				if found, known := reached.Row(row.Name); !known || found != row {
+				if found, exists := reached.Row(row.Name); !exists || found != row {
 					t.Fatalf("row %s: %v", row.Name, found)
 				}
 			}
 			if fmt.Sprint(from.Rows()) != fmt.Sprint(before) {
-				t.Fatalf("the old snapshot changed")
+				t.Fatalf("the old snapshot was modified")
 			}
-			if _, known := reached.Row("absent"); known {
+			if _, exists := reached.Row("absent"); exists {
 				t.Fatalf("found an absent row")
 			}
 		})
 	})
 
-	DescribeTable("refuses a delta that does not fit", func(from, to table.Revision) {
+	DescribeTable("rejects a delta whose revisions do not match", func(from, to table.Revision) {
 		_, err := table.NewSnapshot(3, nil).Apply(table.Delta{From: from, To: to})
 		var mismatch *table.DeltaMismatchError
 		Expect(err).To(BeAssignableToTypeOf(mismatch))
@@ -47,12 +47,12 @@
 		Entry("older", table.Revision(2), table.Revision(4)),
 		Entry("newer", table.Revision(4), table.Revision(5)),
 		Entry("downwards", table.Revision(3), table.Revision(2)),
-		Entry("not moving", table.Revision(3), table.Revision(3)),
+		Entry("to the same revision", table.Revision(3), table.Revision(3)),
 	)
 })
 
 var _ = Describe("Merge", func() {
-	It("gives one side's edit when the other did nothing, and agrees on equal edits", func() {
+	It("returns the edit that only one side made or that both made equally", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			base, edited := drawRows(t, "base"), drawRows(t, "edited")
 			for _, sides := range [][2][]table.Row{{base, edited}, {edited, base}, {edited, edited}} {
@@ -64,24 +64,24 @@
 		})
 	})
 
-	It("conflicts on the same columns whichever side is mine", func() {
+	It("gives the same rows and conflicts when the sides are swapped", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			base, mine, theirs := drawRows(t, "base"), drawRows(t, "mine"), drawRows(t, "theirs")
 			merged, conflicts := table.Merge(base, mine, theirs)
-			mirrored, mirroredConflicts := table.Merge(base, theirs, mine)
-			if fmt.Sprint(merged) != fmt.Sprint(mirrored) || len(conflicts) != len(mirroredConflicts) {
-				t.Fatalf("%v %v, mirrored %v %v", merged, conflicts, mirrored, mirroredConflicts)
+			swapped, swappedConflicts := table.Merge(base, theirs, mine)
+			if fmt.Sprint(merged) != fmt.Sprint(swapped) || len(conflicts) != len(swappedConflicts) {
+				t.Fatalf("%v %v, swapped %v %v", merged, conflicts, swapped, swappedConflicts)
 			}
 			for index, conflict := range conflicts {
 				conflict.Mine, conflict.Theirs = conflict.Theirs, conflict.Mine
-				if conflict != mirroredConflicts[index] {
-					t.Fatalf("%v, mirrored %v", conflict, mirroredConflicts[index])
+				if conflict != swappedConflicts[index] {
+					t.Fatalf("%v, swapped %v", conflict, swappedConflicts[index])
 				}
 			}
 		})
 	})
 
-	It("takes different columns of one row from both", func() {
+	It("merges changes of different columns of one row", func() {
 		base, mine, theirs := model("m"), model("m"), model("m")
 		mine.Priority, theirs.Weight = 9, 99
 		merged, conflicts := table.Merge([]table.Row{base}, []table.Row{mine}, []table.Row{theirs, model("n")})
@@ -91,7 +91,7 @@
 		Expect(merged[0].Weight).To(Equal(99))
 	})
 
-	DescribeTable("names both values of a conflict",
+	DescribeTable("reports the values of both sides of a conflict",
 		func(base, mine, theirs []table.Row, expected table.Conflict) {
 			merged, conflicts := table.Merge(base, mine, theirs)
 			Expect(merged).To(BeNil())
--- a/internal/table/table_suite_test.go
+++ b/internal/table/table_suite_test.go
@@ -36,7 +36,8 @@
 	return row
 }
 
-// drawRows draws a valid table of up to twelve models and adapters.
+// drawRows generates a valid table of up to six models, each with up to one
+// adapter.
 func drawRows(t *rapid.T, label string) []table.Row {
 	count := rapid.IntRange(0, 6).Draw(t, label+" models")
 	var rows []table.Row
--- a/internal/table/validate.go
+++ b/internal/table/validate.go
@@ -30,33 +30,36 @@
 // Constraints are the rules that depend on the deployment. Zero values are not
 // checked.
 type Constraints struct {
-	// Tenants that rows may belong to.
+	// Tenants are the names of the tenants that rows may belong to.
 	Tenants []string
-	// FleetMemoryBytes is the accelerator memory of all engines together.
+	// FleetMemoryBytes is the accelerator memory of all engines together, in
+	// bytes.
 	FleetMemoryBytes int64
-	// ServerMemoryBytes is the accelerator memory of the largest engine.
+	// ServerMemoryBytes is the accelerator memory of the largest engine, in
+	// bytes.
 	ServerMemoryBytes int64
 }
 
-// Validate checks a whole table and returns every breach, in order of rows.
+// Validate checks a whole table and returns its problems in order of the rows,
+// at most MaxProblems.
 func Validate(rows []Row, constraints Constraints) []Problem {
 	validator := newValidator(rows, constraints)
 	for index := range rows {
 		validator.checkRow(&rows[index])
 		if validator.rows[rows[index].Name] != &rows[index] {
-			validator.breach(&rows[index], ColumnName, "each name once")
+			validator.reject(&rows[index], ColumnName, "each name once")
 		}
 	}
 	validator.checkFleet(rows)
 	return validator.list.problems
 }
 
-// validator holds what the checks of one table share.
+// validator holds the state shared by the checks of one table.
 type validator struct {
 	list        problemList
 	constraints Constraints
 	tenants     map[string]bool
-	// rows by name; the first of each name.
+	// rows by name; the first one of a repeated name.
 	rows map[string]*Row
 }
 
@@ -70,21 +73,21 @@
 		result.tenants[tenant] = true
 	}
 	for index := range rows {
-		if _, known := result.rows[rows[index].Name]; !known {
+		if _, found := result.rows[rows[index].Name]; !found {
 			result.rows[rows[index].Name] = &rows[index]
 		}
 	}
 	return result
 }
 
-func (v *validator) breach(row *Row, columnName, allowed string) {
+func (v *validator) reject(row *Row, columnName, allowed string) {
 	value := columns[columnIndex[columnName]].get(row)
 	v.list.add(Problem{Row: row.Name, Column: columnName, Value: value, Allowed: allowed})
 }
 
 func (v *validator) require(holds bool, row *Row, columnName, format string, arguments ...any) {
 	if !holds {
-		v.breach(row, columnName, fmt.Sprintf(format, arguments...))
+		v.reject(row, columnName, fmt.Sprintf(format, arguments...))
 	}
 }
 
@@ -110,22 +113,22 @@
 	case KindAdapter:
 		v.checkBase(row)
 	default:
-		v.breach(row, ColumnKind, allowedKind)
+		v.reject(row, ColumnKind, allowedKind)
 	}
 }
 
 func (v *validator) checkBase(row *Row) {
 	if row.Base == "" {
-		v.breach(row, ColumnBase, "the name of the adapter's base model")
+		v.reject(row, ColumnBase, "the name of the adapter's base model")
 		return
 	}
-	base, known := v.rows[row.Base]
-	if !known {
-		v.breach(row, ColumnBase, "the name of a model in the table")
+	base, found := v.rows[row.Base]
+	if !found {
+		v.reject(row, ColumnBase, "the name of a model in the table")
 		return
 	}
 	if base.Kind != KindModel {
-		v.breach(row, ColumnBase, "a row of kind model, not an adapter")
+		v.reject(row, ColumnBase, "a row of kind model, not an adapter")
 		return
 	}
 	v.require(row.MinReplicas <= base.MaxReplicas, row, ColumnMinReplicas,
@@ -146,11 +149,11 @@
 		"more than 0 and at most %s", FormatSize(MaxSizeBytes))
 	switch {
 	case row.MemoryBytes <= 0 || row.MemoryBytes > MaxSizeBytes:
-		v.breach(row, ColumnMemory, "more than 0 and at most "+FormatSize(MaxSizeBytes))
+		v.reject(row, ColumnMemory, "more than 0 and at most "+FormatSize(MaxSizeBytes))
 	case row.MemoryBytes < row.WeightBytes:
-		v.breach(row, ColumnMemory, "at least the weights, "+FormatSize(row.WeightBytes))
+		v.reject(row, ColumnMemory, "at least the weights, "+FormatSize(row.WeightBytes))
 	case v.constraints.ServerMemoryBytes > 0 && row.MemoryBytes > v.constraints.ServerMemoryBytes:
-		v.breach(row, ColumnMemory, "at most one server's memory, "+FormatSize(v.constraints.ServerMemoryBytes))
+		v.reject(row, ColumnMemory, "at most one server's memory, "+FormatSize(v.constraints.ServerMemoryBytes))
 	}
 }
 
@@ -164,8 +167,8 @@
 		"%s to %s", FormatDuration(MinTimeLimit), FormatDuration(MaxTimeLimit))
 }
 
-// checkFleet refuses minima that all engines together cannot hold. A base
-// model counts as often as it or any of its adapters must be loaded.
+// checkFleet rejects a table whose minimum replicas need more memory than all
+// engines have together.
 func (v *validator) checkFleet(rows []Row) {
 	capacity := v.constraints.FleetMemoryBytes
 	if capacity <= 0 {
@@ -180,7 +183,9 @@
 	}
 }
 
-// MinimumMemory is the memory in bytes that the rows' minima need together.
+// MinimumMemory returns the memory in bytes that the minimum replicas of all
+// rows need together. A base model counts as often as it or any of its adapters
+// must be loaded, whichever is more.
 func MinimumMemory(rows []Row) int64 {
 	minima := make(map[string]int, len(rows))
 	for _, row := range rows {
@@ -196,13 +201,14 @@
 		if row.Kind == KindModel {
 			replicas = minima[row.Name]
 		}
-		total = addBounded(total, row.MemoryBytes, int64(replicas))
+		total = addSaturating(total, row.MemoryBytes, int64(replicas))
 	}
 	return total
 }
 
-// addBounded returns total + size*count, limited to what an int64 holds.
-func addBounded(total, size, count int64) int64 {
+// addSaturating returns total + size*count, at most 1 << 62, so that it does
+// not overflow.
+func addSaturating(total, size, count int64) int64 {
 	const limit = int64(1) << 62
 	if size <= 0 || count <= 0 {
 		return total
--- a/internal/table/validate_test.go
+++ b/internal/table/validate_test.go
@@ -17,11 +17,11 @@
 		ServerMemoryBytes: 640 << 30,
 	}
 
-	It("accepts a sound table", func() {
+	It("accepts a valid table", func() {
 		Expect(table.Validate([]table.Row{model("m"), adapter("a", "m")}, constraints)).To(BeEmpty())
 	})
 
-	DescribeTable("names row, column and what is allowed",
+	DescribeTable("reports row, column and allowed values of a problem",
 		func(change func(*table.Row), column, allowed string) {
 			row := model("m")
 			change(&row)
@@ -51,25 +51,25 @@
 		Entry("time limit", func(r *table.Row) { r.TimeLimit = 2 * time.Hour }, "time_limit", "100ms to 1h"),
 	)
 
-	It("names a row that stands twice", func() {
+	It("reports a repeated name", func() {
 		problems := table.Validate([]table.Row{model("m"), model("m")}, constraints)
 		Expect(problems).To(ConsistOf(SatisfyAll(HaveField("Row", "m"), HaveField("Allowed", "each name once"))))
 	})
 
-	It("holds an adapter's replicas to its base's", func() {
+	It("limits an adapter's replicas to those of its base", func() {
 		tuned := adapter("a", "m")
 		tuned.MinReplicas, tuned.MaxReplicas = 5, 5
 		problems := table.Validate([]table.Row{model("m"), tuned}, constraints)
 		Expect(problems).To(HaveLen(2))
 	})
 
-	It("lists all breaches at once", func() {
+	It("lists all problems at once", func() {
 		row := model("m")
 		row.Priority, row.Weight, row.Tenant, row.Version = -1, 1001, "", ""
 		Expect(table.Validate([]table.Row{row, model("n"), row}, constraints)).To(HaveLen(9))
 	})
 
-	It("refuses minima beyond the engines' memory, counting bases of adapters", func() {
+	It("rejects minimum replicas that exceed the engines' memory, bases of adapters included", func() {
 		base, tuned := model("m"), adapter("a", "m")
 		base.MaxReplicas, tuned.MaxReplicas = 30, 30
 		tuned.MinReplicas = 25
--- a/internal/table/yaml.go
+++ b/internal/table/yaml.go
@@ -14,8 +14,8 @@
 	allowedTopLevel = `a mapping with "rows", a list of rows, and perhaps "revision"`
 )
 
-// readYAML reads the nodes without resolving aliases, so that a small file
-// stays small.
+// readYAML parses YAML into nodes without resolving aliases, so that a small
+// file can't expand to a large table.
 func readYAML(data []byte, problems *problemList) (Revision, []record) {
 	var document yaml.Node
 	if err := yaml.Unmarshal(data, &document); err != nil {
