--- a/internal/api/nodestatus/nodestatus_test.go
+++ b/internal/api/nodestatus/nodestatus_test.go
@@ -41,7 +41,7 @@
 }
 
 func (p *fakeNode) InForce(done func([]tablestore.NodeRevision)) {
-	done([]tablestore.NodeRevision{{Member: p.self, Revision: 7, Known: true}})
+	done([]tablestore.NodeRevision{{Member: p.self, Revision: 7, Answered: true}})
 }
 
 func (p *fakeNode) Machine(outside.ServerID) (outside.Machine, bool) {
--- a/internal/api/stored_table.go
+++ b/internal/api/stored_table.go
@@ -243,10 +243,10 @@
 	status := RevisionStatus{Revision: revision, InForce: len(nodes) > 0, Members: []MemberStatus{}}
 	for _, node := range nodes {
 		nodeRevision := node.Revision
-		if !node.Known {
+		if !node.Answered {
 			nodeRevision = 0
 		}
-		status.InForce = status.InForce && node.Known && nodeRevision >= revision
+		status.InForce = status.InForce && node.Answered && nodeRevision >= revision
 		status.Members = append(status.Members, MemberStatus{
 			Name: node.Member.Name, Zone: node.Member.Zone, Address: node.Member.CallerAddress,
 			Draining: node.Member.Draining, Revision: nodeRevision,
--- a/internal/api/stored_table_test.go
+++ b/internal/api/stored_table_test.go
@@ -159,8 +159,8 @@
 var _ = DescribeTable("a revision is in force", func(nodes []tablestore.NodeRevision, inForce bool) {
 	Expect(api.NewRevisionStatus(7, nodes).InForce).To(Equal(inForce))
 },
-	Entry("when all nodes use it or a newer one", []tablestore.NodeRevision{{Revision: 7, Known: true}, {Revision: 8, Known: true}}, true),
-	Entry("but not while a node uses an older one", []tablestore.NodeRevision{{Revision: 7, Known: true}, {Revision: 6, Known: true}}, false),
-	Entry("but not while a node does not answer", []tablestore.NodeRevision{{Revision: 7, Known: true}, {Revision: 8}}, false),
+	Entry("when all nodes use it or a newer one", []tablestore.NodeRevision{{Revision: 7, Answered: true}, {Revision: 8, Answered: true}}, true),
+	Entry("but not while a node uses an older one", []tablestore.NodeRevision{{Revision: 7, Answered: true}, {Revision: 6, Answered: true}}, false),
+	Entry("but not while a node does not answer", []tablestore.NodeRevision{{Revision: 7, Answered: true}, {Revision: 8}}, false),
 	Entry("but not when no node is known", nil, false),
 )
