--- a/internal/node/layout.go
+++ b/internal/node/layout.go
@@ -19,8 +19,8 @@
 // layoutRetry is the pause before the key-value service is asked again.
 const layoutRetry = 500 * time.Millisecond
 
-// ErrOtherLayout means that the running nodes divide servers into other cells.
-var ErrOtherLayout = errors.New("the cells in the settings differ from those in force")
+// ErrLayoutMismatch means that the running nodes divide servers into other cells.
+var ErrLayoutMismatch = errors.New("the cells in the settings differ from those in force")
 
 // confirmedOwners starts the ownership of cells once, unless the node has
 // stopped before.
@@ -89,10 +89,10 @@
 		confirmed()
 		return
 	}
-	err := eris.Wrapf(ErrOtherLayout, "digest %s here, %s in force", own, inForce)
+	err := eris.Wrapf(ErrLayoutMismatch, "digest %s here, %s in force", own, inForce)
 	n.config.Logger.Error().Err(err).Str("reason", "other layout").Msg("node owns no cells")
-	if n.config.Failed != nil {
-		n.config.Failed(err)
+	if n.config.OnFatalError != nil {
+		n.config.OnFatalError(err)
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -47,8 +47,8 @@
 	Logger    zerolog.Logger
 	// Metrics of the gateway; may be nil.
 	Metrics gateway.Metrics
-	// Failed is told of a fault for which the process must end; may be nil.
-	Failed func(error)
+	// OnFatalError is told of a fault for which the process must end; may be nil.
+	OnFatalError func(error)
 	// Mechanisms of the cells' owners that are switched on.
 	Mechanisms applier.Mechanisms
 	// WrapClaims, if set, replaces the claimer; only for the checker's own
--- a/internal/peer/tcp/bad_peer_test.go
+++ b/internal/peer/tcp/bad_peer_test.go
@@ -47,7 +47,7 @@
 			}
 			_, _ = io.Copy(io.Discard, conn)
 			Eventually(log, longTimeout).Should(gbytes.Say(`"code":5004,"reason":"bad_peer_message"`))
-			Expect(server.Statistics().BadPeers).To(BeEquivalentTo(1))
+			Expect(server.Statistics().ProtocolViolations).To(BeEquivalentTo(1))
 
 			client := startTransport(testConfig(), nil)
 			Eventually(ask(client, server.Address(), question{Number: 3}, longTimeout), longTimeout).
@@ -91,7 +91,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			DeferCleanup(conn.Close)
 		}
-		Eventually(func() uint64 { return server.Statistics().RefusedConnections }, longTimeout).Should(BeEquivalentTo(3))
+		Eventually(func() uint64 { return server.Statistics().RejectedConnections }, longTimeout).Should(BeEquivalentTo(3))
 	})
 
 	It("costs no more memory than it sends", func() {
--- a/internal/peer/tcp/statistics.go
+++ b/internal/peer/tcp/statistics.go
@@ -10,10 +10,10 @@
 	// Dropped messages were never sent: the peer was unreachable, or its queue
 	// full.
 	Dropped uint64
-	// BadPeers are connections closed for breaking the protocol.
-	BadPeers uint64
-	// RefusedConnections exceeded a limit.
-	RefusedConnections uint64
+	// ProtocolViolations are connections closed for breaking the protocol.
+	ProtocolViolations uint64
+	// RejectedConnections exceeded a limit.
+	RejectedConnections uint64
 }
 
 type statistics struct {
@@ -25,12 +25,12 @@
 // Statistics returns the counts so far.
 func (t *Transport) Statistics() Statistics {
 	return Statistics{
-		MessagesSent:       t.statistics.messagesSent.Load(),
-		MessagesReceived:   t.statistics.messagesReceived.Load(),
-		BytesSent:          t.statistics.bytesSent.Load(),
-		BytesReceived:      t.statistics.bytesReceived.Load(),
-		Dropped:            t.statistics.dropped.Load(),
-		BadPeers:           t.statistics.badPeers.Load(),
-		RefusedConnections: t.statistics.refusedConnections.Load(),
+		MessagesSent:        t.statistics.messagesSent.Load(),
+		MessagesReceived:    t.statistics.messagesReceived.Load(),
+		BytesSent:           t.statistics.bytesSent.Load(),
+		BytesReceived:       t.statistics.bytesReceived.Load(),
+		Dropped:             t.statistics.dropped.Load(),
+		ProtocolViolations:  t.statistics.badPeers.Load(),
+		RejectedConnections: t.statistics.refusedConnections.Load(),
 	}
 }
--- a/internal/ratelimit/meter.go
+++ b/internal/ratelimit/meter.go
@@ -143,7 +143,7 @@
 		return wait
 	}
 	if over := m.used(now) + min(request.Cost, capacity(limit)) - capacity(limit); over > 0 {
-		return max(wait, m.counted.LeavesIn(over, now))
+		return max(wait, m.counted.TimeUntilExpired(over, now))
 	}
 	return wait
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -110,7 +110,7 @@
 		KeyValues: p.health.keyValues, Engines: httpapi.NewEngines(p.lookup, httpapi.Options{}),
 		BackEnds: httpapi.NewBackEnds(p.lookup, httpapi.Options{}), Machines: p.health.machines, Weights: p.health.weights,
 		Transport: p.transport, Logger: p.logger, Mechanisms: applier.AllMechanisms(),
-		Failed: p.fail,
+		OnFatalError: p.fail,
 	})
 	if err != nil {
 		return eris.Wrap(err, "assemble node")
--- a/internal/window/window.go
+++ b/internal/window/window.go
@@ -51,9 +51,9 @@
 	return total
 }
 
-// LeavesIn is the time until so much has left the window, if nothing is added; the
+// TimeUntilExpired is the time until so much has left the window, if nothing is added; the
 // whole window if there is less.
-func (s *Sum) LeavesIn(amount float64, now time.Time) time.Duration {
+func (s *Sum) TimeUntilExpired(amount float64, now time.Time) time.Duration {
 	s.advance(now)
 	for oldest := max(s.newest-slots, 0); oldest <= s.newest; oldest++ {
 		amount -= *s.at(oldest)
--- a/internal/window/window_test.go
+++ b/internal/window/window_test.go
@@ -50,10 +50,10 @@
 		now = now.Add(500 * time.Millisecond)
 		sum.Add(10, now)
 	}
-	leaves := sum.LeavesIn(25, now)
+	leaves := sum.TimeUntilExpired(25, now)
 	later := sum
 	g.Expect(later.Total(now.Add(leaves))).To(BeNumerically("<=", 75))
 	later = sum
 	g.Expect(later.Total(now.Add(leaves - length/32))).To(BeNumerically(">", 75))
-	g.Expect(sum.LeavesIn(1000, now)).To(Equal(length))
+	g.Expect(sum.TimeUntilExpired(1000, now)).To(Equal(length))
 }
