--- a/internal/node/build.go
+++ b/internal/node/build.go
@@ -17,8 +17,10 @@
 	"github.com/hatchplank/hatchplank/internal/tablestore"
 )
 
-// fork returns a source of randomness for one part.
-func (n *Node) fork() *rand.Rand { return rand.New(rand.NewPCG(n.random.Uint64(), n.random.Uint64())) }
+// newRandom returns a random source for one component, seeded from the node's.
+func (n *Node) newRandom() *rand.Rand {
+	return rand.New(rand.NewPCG(n.random.Uint64(), n.random.Uint64()))
+}
 
 func (n *Node) buildMembership() {
 	detector := n.leaseDetector
@@ -33,15 +35,16 @@
 	options.TimeToLive = n.config.Settings.Intervals.LeaseTTL
 	options.KeepAliveInterval = options.TimeToLive / 3
 	options.OutageGrace = 2 * options.TimeToLive
-	return membership.NewLeaseDetector(n.config.KeyValues, n.config.Clock, n.fork(), options, n.part("membership"))
+	return membership.NewLeaseDetector(n.config.KeyValues, n.config.Clock, n.newRandom(), options, n.componentLogger("membership"))
 }
 
 func (n *Node) heartbeatDetector() membership.Detector {
 	options := membership.DefaultHeartbeatOptions(n.config.Settings.Intervals.Heartbeat)
-	return membership.NewHeartbeatDetector(n.config.KeyValues, n.config.Transport, n.config.Clock, n.fork(), options, n.part("membership"))
+	return membership.NewHeartbeatDetector(n.config.KeyValues, n.config.Transport, n.config.Clock, n.newRandom(), options, n.componentLogger("membership"))
 }
 
-func (n *Node) part(name string) zerolog.Logger {
+// componentLogger returns the node's logger with the name of a component.
+func (n *Node) componentLogger(name string) zerolog.Logger {
 	return n.config.Logger.With().Str("part", name).Logger()
 }
 
@@ -52,7 +55,7 @@
 	options.AcceptOlder = n.config.Disabled.RevisionMonotonicity
 	n.Table = tablestore.New(tablestore.Dependencies{
 		Members: n.Registry, KeyValues: n.config.KeyValues, Transport: n.config.Transport,
-		Clock: n.config.Clock, Random: n.fork(), Log: n.part("table"),
+		Clock: n.config.Clock, Random: n.newRandom(), Log: n.componentLogger("table"),
 		Validate: func(rows []table.Row) []table.Problem {
 			return table.Validate(rows, table.Constraints{Tenants: tenants})
 		},
@@ -61,9 +64,9 @@
 
 func (n *Node) buildClaims() {
 	n.Claims = claims.New(claims.Config{
-		Clock: n.config.Clock, Random: n.fork(), KeyValues: n.config.KeyValues,
+		Clock: n.config.Clock, Random: n.newRandom(), KeyValues: n.config.KeyValues,
 		Transport: n.config.Transport, Members: n.Registry, Synchronised: n.Registry.Synchronised,
-		Logger: n.part("claims"),
+		Logger: n.componentLogger("claims"),
 		Shards: n.config.Settings.Claims.Shards, Retention: n.config.Settings.Claims.Retention,
 		Quarantine: n.config.Settings.Claims.Retention,
 	})
@@ -71,31 +74,31 @@
 
 func (n *Node) buildMachines() {
 	n.Machines = machinelist.NewFollower(machinelist.Config{
-		Clock: n.config.Clock, Service: n.config.Machines, Period: machineListPeriod,
-		Timeout: n.config.Settings.Platform.Timeout, Logger: n.part("machines"),
+		Clock: n.config.Clock, Service: n.config.Machines, Period: machineListInterval,
+		Timeout: n.config.Settings.Platform.Timeout, Logger: n.componentLogger("machines"),
 	})
 }
 
 func (n *Node) buildManager() error {
-	policy, err := policyOf(n.config.Settings.Policy)
+	policy, err := newPolicy(n.config.Settings.Policy)
 	if err != nil {
 		return err
 	}
 	n.Manager = applier.NewManager(applier.Config{
-		Clock: n.config.Clock, Random: n.fork(), Table: n.Table, Layout: n.Layout,
+		Clock: n.config.Clock, Random: n.newRandom(), Table: n.Table, Layout: n.Layout,
 		Allot: n.allotter.Allotment, CellOf: n.allotter.ServerCell,
 		Engines: n.config.Engines, Machines: n.Machines, Store: n.config.Weights,
 		Transport: n.config.Transport, Self: n.Registry, Policy: policy,
 		Confirmer:  applier.NewKeyValueConfirmer(n.config.KeyValues, n.config.Settings.Platform.Timeout),
 		Statistics: newStatisticsStore(n.config.KeyValues, n.config.Settings.Platform.Timeout),
-		Logger:     n.part("cells"), Mechanisms: n.config.Mechanisms,
+		Logger:     n.componentLogger("cells"), Mechanisms: n.config.Mechanisms,
 		Intervals: applierIntervals(n.config.Settings.Intervals),
 	})
 	return nil
 }
 
-// cellsOf returns the cells that may hold replicas of a base model: demand for
-// it goes to no other. An unknown model has none.
+// cellsOf returns the cells that may hold replicas of a base model. Demand for
+// the model is reported only to these cells. An unknown model has none.
 func (n *Node) cellsOf(model string) []string {
 	row, known := n.Table.Row(model)
 	if !known {
@@ -104,13 +107,15 @@
 	return n.allotter.CellsOf(row)
 }
 
-// reportsUntilExpiry is how many demand reports may be lost before a gateway's
-// demand no longer counts.
-const reportsUntilExpiry = 3
+// missedReportsUntilExpiry is the number of report intervals without a demand
+// report after which a gateway's demand is no longer counted.
+const missedReportsUntilExpiry = 3
 
-func applierIntervals(chosen settings.Intervals) applier.Intervals {
+// applierIntervals returns the applier's default intervals, with a demand expiry
+// that fits the configured report interval.
+func applierIntervals(configured settings.Intervals) applier.Intervals {
 	intervals := applier.DefaultIntervals()
-	intervals.DemandExpiry = max(intervals.DemandExpiry, reportsUntilExpiry*chosen.Report)
+	intervals.DemandExpiry = max(intervals.DemandExpiry, missedReportsUntilExpiry*configured.Report)
 	return intervals
 }
 
@@ -119,9 +124,9 @@
 	for _, cell := range n.Layout.Cells {
 		names = append(names, cell.Name)
 	}
-	n.Owners = membership.NewOwnershipManager(n.config.Self, names, n.config.KeyValues, n.config.Clock, n.fork(),
-		n.Manager, membership.DefaultOwnershipOptions(), n.part("ownership"))
-	n.layoutConfirmed = &confirmedOwners{owners: n.Owners}
+	n.Owners = membership.NewOwnershipManager(n.config.Self, names, n.config.KeyValues, n.config.Clock, n.newRandom(),
+		n.Manager, membership.DefaultOwnershipOptions(), n.componentLogger("ownership"))
+	n.ownership = &ownershipGate{owners: n.Owners}
 }
 
 func (n *Node) buildDirectory() {
@@ -129,7 +134,7 @@
 		Clock: n.config.Clock, Transport: n.config.Transport, Ownership: n.Owners,
 		Cells: n.cellsOf, Table: n.Table,
 		Gateway: n.config.Self.ID(), PeerAddress: n.config.Self.PeerAddress,
-		Logger: n.part("directory"), ReportPeriod: n.config.Settings.Intervals.Report,
+		Logger: n.componentLogger("directory"), ReportPeriod: n.config.Settings.Intervals.Report,
 	})
 	n.Pools = directory.NewBackEnds(directory.DefaultBackEndConcurrency)
 }
@@ -137,11 +142,11 @@
 func (n *Node) buildRouters() {
 	gateways := func() int { return max(1, len(n.Registry.Members())) }
 	n.Router = router.New(router.Config{
-		Clock: n.config.Clock, Random: n.fork(), Source: n.Directory,
+		Clock: n.config.Clock, Random: n.newRandom(), Source: n.Directory,
 		Zone: n.config.Self.Zone, Gateways: gateways,
 	})
 	n.PoolRouter = router.New(router.Config{
-		Clock: n.config.Clock, Random: n.fork(), Source: n.Pools,
+		Clock: n.config.Clock, Random: n.newRandom(), Source: n.Pools,
 		Zone: n.config.Self.Zone, Gateways: gateways,
 	})
 }
@@ -153,10 +158,10 @@
 	}
 	limits := n.config.Settings.Limits
 	n.Gateway = gateway.New(gateway.Config{
-		Clock: n.config.Clock, Random: n.fork(), Node: n.config.Self.ID(), Table: n.Table,
+		Clock: n.config.Clock, Random: n.newRandom(), Node: n.config.Self.ID(), Table: n.Table,
 		Directory: n.Directory, Router: n.Router, Engines: n.config.Engines,
 		Pools: n.Pools, PoolRouter: n.PoolRouter, BackEnds: n.config.BackEnds,
-		Claims: claimer, Logger: n.part("gateway"), Metrics: n.config.Metrics,
+		Claims: claimer, Logger: n.componentLogger("gateway"), Metrics: n.config.Metrics,
 		IgnoreAttemptIdentity: n.config.Disabled.AttemptIdentity,
 		Limits: gateway.Limits{
 			QueueLength: limits.QueuePerModel, Waiting: limits.Waiting, WaitingBytes: int64(limits.WaitingBytes),
@@ -166,8 +171,8 @@
 	})
 }
 
-// connect subscribes the parts to each other's changes.
-func (n *Node) connect() {
+// subscribeComponents subscribes the node's components to each other's changes.
+func (n *Node) subscribeComponents() {
 	n.Registry.Subscribe(n.Owners.SetMembers)
 	n.Registry.Subscribe(n.Table.SetMembers)
 	n.Machines.Subscribe(n.Directory.ApplyListing)
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// handoverPeriod is how often a draining node looks whether its roles are
-// handed over.
-const handoverPeriod = 200 * time.Millisecond
+// handoverPollInterval is how often a draining node checks whether its roles
+// have been handed over.
+const handoverPollInterval = 200 * time.Millisecond
 
-// handoverLimit bounds the wait for the handover of roles, which an outage of
-// the key-value service can hold up: a node that leaves without it takes its
-// claims' votes along. Requests are waited for without it, since each has its
-// own deadline.
-const handoverLimit = 2 * time.Minute
+// handoverTimeout limits the wait for the handover of roles, which an outage of
+// the key-value service can delay. A node that shuts down without a handover
+// loses the claim votes that it holds. The limit does not apply to requests in
+// flight, since each has its own deadline.
+const handoverTimeout = 2 * time.Minute
 
-// drainState is the progress of a planned stop.
+// drainState is the progress of a planned shutdown.
 type drainState struct {
 	mutex     sync.Mutex
 	draining  bool
 	startedAt time.Time
-	done      []func()
+	callbacks []func()
 	finished  bool
 }
 
-// Draining reports whether a planned stop has begun.
+// Draining reports whether a planned shutdown has begun.
 func (n *Node) Draining() bool {
 	n.drain.mutex.Lock()
 	defer n.drain.mutex.Unlock()
 	return n.drain.draining
 }
 
-// Drain begins a planned stop: the node refuses new requests, finishes what it
-// accepted, hands its roles over and leaves the members. Done is called when
-// that is over; several callers may wait.
+// Drain begins a planned shutdown: the node rejects new requests, completes
+// those that it accepted, hands its roles over and leaves the membership. Done
+// is called once the drain is complete. Drain may be called several times; each
+// done is called.
 func (n *Node) Drain(done func()) {
 	n.drain.mutex.Lock()
 	if n.drain.finished {
@@ -41,12 +42,12 @@
 		n.config.Clock.AfterFunc(0, done)
 		return
 	}
-	n.drain.done = append(n.drain.done, done)
-	begun := n.drain.draining
+	n.drain.callbacks = append(n.drain.callbacks, done)
+	alreadyDraining := n.drain.draining
 	n.drain.draining = true
 	n.drain.startedAt = n.config.Clock.Now()
 	n.drain.mutex.Unlock()
-	if begun {
+	if alreadyDraining {
 		return
 	}
 	n.config.Logger.Info().Str("reason", "planned stop").Msg("draining")
@@ -54,14 +55,15 @@
 	n.Gateway.Drain(func() { n.config.Clock.AfterFunc(0, n.awaitHandover) })
 }
 
-// awaitHandover waits until nothing is left to hand over.
+// awaitHandover polls until all roles are handed over or handoverTimeout has
+// passed, and then stops the node.
 func (n *Node) awaitHandover() {
 	n.drain.mutex.Lock()
-	waited := n.config.Clock.Now().Sub(n.drain.startedAt)
+	elapsed := n.config.Clock.Now().Sub(n.drain.startedAt)
 	n.drain.mutex.Unlock()
-	handedOver := n.handedOver()
-	if !handedOver && waited < handoverLimit {
-		n.config.Clock.AfterFunc(handoverPeriod, n.awaitHandover)
+	handedOver := n.rolesHandedOver()
+	if !handedOver && elapsed < handoverTimeout {
+		n.config.Clock.AfterFunc(handoverPollInterval, n.awaitHandover)
 		return
 	}
 	if !handedOver {
@@ -72,17 +74,17 @@
 	n.Registry.Stop(n.finishDrain)
 }
 
-// handedOver reports whether the node holds no claims, which go to other
-// members or, without any, into the key-value service, and no cells that
-// another member could take.
-func (n *Node) handedOver() bool {
+// rolesHandedOver reports whether the node holds no claims and owns no cells
+// that another member could take over. Claims are handed over to other members
+// or, if there are none, saved in the key-value service.
+func (n *Node) rolesHandedOver() bool {
 	if n.Claims.IsAcceptor() {
 		return false
 	}
 	return len(n.Owners.Owned()) == 0 || !n.hasSuccessor()
 }
 
-// hasSuccessor reports whether another live member takes roles.
+// hasSuccessor reports whether another live member can take over roles.
 func (n *Node) hasSuccessor() bool {
 	for _, member := range n.Registry.Members() {
 		if member.Name != n.config.Self.Name && !member.Draining {
@@ -95,11 +97,11 @@
 func (n *Node) finishDrain() {
 	n.drain.mutex.Lock()
 	n.drain.finished = true
-	waiting := n.drain.done
-	n.drain.done = nil
+	callbacks := n.drain.callbacks
+	n.drain.callbacks = nil
 	n.drain.mutex.Unlock()
 	n.config.Logger.Info().Str("reason", "planned stop").Msg("drained")
-	for _, done := range waiting {
+	for _, done := range callbacks {
 		done()
 	}
 }
--- a/internal/node/layout.go
+++ b/internal/node/layout.go
@@ -11,27 +11,28 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// layoutKey holds the digest of the division into cells in the key-value
-// service. Two nodes with different divisions would grant the same replicas
-// twice, so a node whose digest is another owns nothing.
+// layoutKey holds the digest of the cell layout in force in the key-value
+// service. Two nodes with different layouts would allot the same replicas twice,
+// so a node whose layout has another digest owns no cells.
 const layoutKey = "layout"
 
-// layoutRetry is the pause before the key-value service is asked again.
-const layoutRetry = 500 * time.Millisecond
+// layoutRetryDelay is the delay before the layout is read again.
+const layoutRetryDelay = 500 * time.Millisecond
 
-// ErrLayoutMismatch means that the running nodes divide servers into other cells.
+// ErrLayoutMismatch means that this node's cell layout differs from the one that
+// the running nodes use.
 var ErrLayoutMismatch = errors.New("the cells in the settings differ from those in force")
 
-// confirmedOwners starts the ownership of cells once, unless the node has
-// stopped before.
-type confirmedOwners struct {
+// ownershipGate starts cell ownership at most once, and not after the node has
+// stopped.
+type ownershipGate struct {
 	owners *membership.OwnershipManager
 
 	mutex            sync.Mutex
 	running, stopped bool
 }
 
-func (c *confirmedOwners) start() {
+func (c *ownershipGate) start() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.running || c.stopped {
@@ -41,7 +42,7 @@
 	c.owners.Start()
 }
 
-func (c *confirmedOwners) stop() {
+func (c *ownershipGate) stop() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.stopped = true
@@ -50,19 +51,19 @@
 	}
 }
 
-func (c *confirmedOwners) isRunning() bool {
+func (c *ownershipGate) isRunning() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.running
 }
 
-// confirmLayout makes sure that this node divides servers and models as all
-// others do, and then calls confirmed. The first node of a new deployment sets
-// what is in force. Without the key-value service it waits.
+// confirmLayout checks that this node has the cell layout in force, and then
+// calls confirmed. The first node of a new deployment records its own layout as
+// the one in force. While the key-value service is unavailable, it retries.
 func (n *Node) confirmLayout(confirmed func()) {
 	n.config.KeyValues.Range(layoutKey, n.config.Settings.Platform.Timeout, func(result outside.RangeResult, err error) {
 		if err != nil {
-			n.confirmLayoutLater(confirmed)
+			n.retryConfirmLayout(confirmed)
 			return
 		}
 		for _, pair := range result.KeyValues {
@@ -75,35 +76,38 @@
 	})
 }
 
-func (n *Node) confirmLayoutLater(confirmed func()) {
-	n.config.Clock.AfterFunc(layoutRetry, func() {
+func (n *Node) retryConfirmLayout(confirmed func()) {
+	n.config.Clock.AfterFunc(layoutRetryDelay, func() {
 		if !n.stopped.Load() {
 			n.confirmLayout(confirmed)
 		}
 	})
 }
 
+// compareLayout calls confirmed if the digest in force is that of this node's
+// layout, and otherwise reports ErrLayoutMismatch as a fatal error.
 func (n *Node) compareLayout(inForce string, confirmed func()) {
-	own := n.Layout.Digest()
-	if inForce == own {
+	ownDigest := n.Layout.Digest()
+	if inForce == ownDigest {
 		confirmed()
 		return
 	}
-	err := eris.Wrapf(ErrLayoutMismatch, "digest %s here, %s in force", own, inForce)
+	err := eris.Wrapf(ErrLayoutMismatch, "digest %s here, %s in force", ownDigest, inForce)
 	n.config.Logger.Error().Err(err).Str("reason", "other layout").Msg("node owns no cells")
 	if n.config.OnFatalError != nil {
 		n.config.OnFatalError(err)
 	}
 }
 
-// recordLayout sets the layout in force unless another node is quicker; either
-// way it is read again, which also settles a write whose reply was lost.
+// recordLayout records this node's layout as the one in force unless another
+// node has recorded one before. The layout is read again in any case, which also
+// covers a write whose reply was lost.
 func (n *Node) recordLayout(confirmed func()) {
 	transaction := outside.Transaction{
 		Compares:   []outside.Compare{{Key: layoutKey}},
 		Operations: []outside.Operation{{Kind: outside.OperationPut, Key: layoutKey, Value: []byte(n.Layout.Digest())}},
 	}
 	n.config.KeyValues.Transact(transaction, n.config.Settings.Platform.Timeout, func(outside.TransactionResult, error) {
-		n.confirmLayoutLater(confirmed)
+		n.retryConfirmLayout(confirmed)
 	})
 }
--- a/internal/node/layout_test.go
+++ b/internal/node/layout_test.go
@@ -29,7 +29,7 @@
 	})
 }
 
-// owned counts the cells that all living nodes own.
+// owned counts the cells that all live nodes own together.
 func owned(world *emulator.World) int {
 	total := 0
 	for _, n := range world.Nodes {
@@ -40,15 +40,15 @@
 	return total
 }
 
-var _ = Describe("the division into cells", func() {
-	It("is set by the first nodes, whatever replies are lost", func() {
+var _ = Describe("the cell layout", func() {
+	It("is recorded by the first nodes even if replies are lost", func() {
 		world := newWorld(1, 3)
 		world.KeyValue.SetFaults(keyvalue.Faults{LostReplies: 0.5})
 		world.Loop.RunFor(time.Minute)
 		Expect(owned(world)).To(Equal(len(world.Options.Deployment.Settings.Cells)))
 	})
 
-	It("keeps a node with another one from owning cells, even alone", func() {
+	It("keeps a node with another layout from owning cells, even as the only member", func() {
 		world := newWorld(2, 2)
 		world.Loop.RunFor(30 * time.Second)
 		world.Options.Deployment.Settings.Cells = []settings.Cell{{Name: "north", Pools: []string{"glossa"}}}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node assembles one hatchplank node from its parts. The same assembly
-// runs in the serve command and in the emulator; they differ in the clock, the
-// transport and the platform bindings handed in.
+// Package node assembles one hatchplank node from its components. The serve
+// command and the emulator run the same assembly with different clocks,
+// transports and platform bindings.
 package node
 
 import (
@@ -25,18 +25,18 @@
 	"github.com/hatchplank/hatchplank/internal/tablestore"
 )
 
-// machineListPeriod is how often a node reads the machine list.
-const machineListPeriod = time.Second
+// machineListInterval is how often a node reads the machine list.
+const machineListInterval = time.Second
 
-// gatewayTick is the period of Gateway.Tick.
-const gatewayTick = time.Second
+// gatewayTickInterval is the period of Gateway.Tick.
+const gatewayTickInterval = time.Second
 
-// Config is what a node needs from outside.
+// Config configures a node and holds its external dependencies.
 type Config struct {
 	Self     membership.Member
 	Settings settings.Settings
 	Clock    clock.Clock
-	// Seed of all the node's randomness.
+	// Seed of the node's random source.
 	Seed      uint64
 	KeyValues outside.KeyValueService
 	Engines   outside.EngineService
@@ -47,25 +47,25 @@
 	Logger    zerolog.Logger
 	// Metrics of the gateway; may be nil.
 	Metrics gateway.Metrics
-	// OnFatalError is told of a fault for which the process must end; may be nil.
+	// OnFatalError is called with an error after which the process must exit;
+	// may be nil.
 	OnFatalError func(error)
-	// Mechanisms of the cells' owners that are switched on.
+	// Mechanisms of cell owners that are enabled.
 	Mechanisms applier.Mechanisms
-	// WrapClaims, if set, replaces the claimer; only for the checker's own
-	// tests.
+	// WrapClaims, if set, wraps the claimer; only for the checker's own tests.
 	WrapClaims func(claims.Claimer) claims.Claimer
 	// Disabled safety mechanisms; only for the checker's own tests.
 	Disabled Disabled
 }
 
-// Disabled names safety mechanisms outside the cells' owners that are switched
-// off, to see that the checker notices.
+// Disabled selects safety mechanisms outside the cell owners that are disabled,
+// to test that the checker detects it.
 type Disabled struct {
-	// AttemptIdentity: answers count only for the attempt they name.
+	// AttemptIdentity: a reply is accepted only for the attempt that it names.
 	AttemptIdentity bool
-	// ReadBack: a table write whose reply was lost is read back.
+	// ReadBack: after a table write whose reply was lost, the table is read back.
 	ReadBack bool
-	// RevisionMonotonicity: a node never acts on an older table.
+	// RevisionMonotonicity: a node never replaces its table by an older revision.
 	RevisionMonotonicity bool
 }
 
@@ -86,18 +86,18 @@
 	Manager    *applier.Manager
 	Layout     cells.Layout
 
-	// allotter answers for Layout.
-	allotter *cells.CachedLayout
-	random   *rand.Rand
-	stops    []func()
-	drain    drainState
-	// layoutConfirmed runs Owners from when the division into cells is known
-	// to be the one in force.
-	layoutConfirmed *confirmedOwners
-	stopped         atomic.Bool
+	// allotter caches the allotments of Layout.
+	allotter   *cells.CachedLayout
+	random     *rand.Rand
+	stopTimers []func()
+	drain      drainState
+	// ownership starts Owners once the layout is confirmed to be the one in
+	// force.
+	ownership *ownershipGate
+	stopped   atomic.Bool
 }
 
-// New assembles a node; Start makes it work.
+// New assembles a node; Start starts it.
 func New(config Config) (*Node, error) {
 	n := &Node{
 		config: config,
@@ -116,40 +116,41 @@
 	n.buildDirectory()
 	n.buildRouters()
 	n.buildGateway()
-	n.connect()
+	n.subscribeComponents()
 	return n, nil
 }
 
-// Start begins the node's work.
+// Start starts all components and their periodic work.
 func (n *Node) Start() {
 	n.Registry.Start()
-	n.confirmLayout(n.layoutConfirmed.start)
+	n.confirmLayout(n.ownership.start)
 	n.Table.Start()
 	n.Claims.Start()
 	n.Machines.Start()
-	n.every(n.config.Settings.Intervals.Tick, func(now time.Time) { n.Manager.Tick(now) })
-	n.every(directory.DefaultRepeatPeriod, func(now time.Time) { n.Directory.Tick(now) })
-	n.every(gatewayTick, func(now time.Time) { n.Gateway.Tick(now) })
+	n.repeat(n.config.Settings.Intervals.Tick, func(now time.Time) { n.Manager.Tick(now) })
+	n.repeat(directory.DefaultRepeatPeriod, func(now time.Time) { n.Directory.Tick(now) })
+	n.repeat(gatewayTickInterval, func(now time.Time) { n.Gateway.Tick(now) })
 }
 
-func (n *Node) every(period time.Duration, tick func(now time.Time)) {
+// repeat calls tick every period until Stop.
+func (n *Node) repeat(period time.Duration, tick func(now time.Time)) {
 	stop := clock.Repeat(n.config.Clock, period, func() { tick(n.config.Clock.Now()) })
-	n.stops = append(n.stops, stop)
+	n.stopTimers = append(n.stopTimers, stop)
 }
 
-// Stop ends all work at once, without handing anything over.
+// Stop stops all components at once, without a handover.
 func (n *Node) Stop() {
-	for _, stop := range n.stops {
+	for _, stop := range n.stopTimers {
 		stop()
 	}
 	n.Machines.Stop()
 	n.Claims.Stop()
 	n.Table.Stop()
 	n.stopped.Store(true)
-	n.layoutConfirmed.stop()
+	n.ownership.stop()
 }
 
-// Ready returns why the node can't serve yet, or "".
+// Ready returns the reason why the node can't serve requests, or "" if it can.
 func (n *Node) Ready() string {
 	_, listedAt := n.Machines.Listing()
 	switch {
@@ -157,7 +158,7 @@
 		return "draining"
 	case !n.Table.Loaded():
 		return "the table has not been read"
-	case !n.layoutConfirmed.isRunning():
+	case !n.ownership.isRunning():
 		return "the cells have not been compared with those in force"
 	case listedAt.IsZero():
 		return "the machine list has not been read"
--- a/internal/node/policy.go
+++ b/internal/node/policy.go
@@ -5,8 +5,8 @@
 	"github.com/hatchplank/hatchplank/internal/settings"
 )
 
-// policyOf builds the planner's policy that the settings name.
-func policyOf(s settings.Policy) (planner.Policy, error) {
+// newPolicy returns the planner policy that the settings name.
+func newPolicy(s settings.Policy) (planner.Policy, error) {
 	parameters := planner.DefaultParameters
 	parameters.ColdStartWeight = s.ColdStartWeight
 	if s.KeepAliveMax > 0 {
--- a/internal/node/statistics.go
+++ b/internal/node/statistics.go
@@ -9,14 +9,14 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// statisticsPrefix is where cells' statistics are kept in the key-value
-// service.
+// statisticsPrefix is the prefix of the keys under which the statistics of cells
+// are stored in the key-value service.
 const statisticsPrefix = "statistics/"
 
-// epochBytes is the length of the epoch before the statistics.
-const epochBytes = 8
+// epochSize is the length in bytes of the epoch that precedes the statistics.
+const epochSize = 8
 
-// statisticsStore keeps cells' statistics in the key-value service; it
+// statisticsStore stores the statistics of cells in the key-value service. It
 // implements applier.StatisticsStore.
 type statisticsStore struct {
 	service outside.KeyValueService
@@ -27,14 +27,14 @@
 	return &statisticsStore{service: service, timeout: timeout}
 }
 
-// Load implements applier.StatisticsStore.
+// Load implements applier.StatisticsStore. Data is nil if none were saved.
 func (s *statisticsStore) Load(cell string, done func([]byte, error)) {
 	s.read(cell, func(pair outside.KeyValue, err error) {
-		if err != nil || len(pair.Value) < epochBytes {
+		if err != nil || len(pair.Value) < epochSize {
 			done(nil, err)
 			return
 		}
-		done(pair.Value[epochBytes:], nil)
+		done(pair.Value[epochSize:], nil)
 	})
 }
 
@@ -55,21 +55,23 @@
 	})
 }
 
-// Save implements applier.StatisticsStore.
+// Save implements applier.StatisticsStore. It fails if an owner of a higher
+// epoch has saved statistics for the cell.
 func (s *statisticsStore) Save(cell string, epoch uint64, data []byte, done func(error)) {
 	s.read(cell, func(pair outside.KeyValue, err error) {
 		if err != nil {
 			done(err)
 			return
 		}
-		if len(pair.Value) >= epochBytes && binary.BigEndian.Uint64(pair.Value) > epoch {
-			done(eris.New("a higher epoch has saved statistics"))
+		if len(pair.Value) >= epochSize && binary.BigEndian.Uint64(pair.Value) > epoch {
+			done(eris.New("statistics were already saved under a higher epoch"))
 			return
 		}
 		s.write(cell, epoch, data, pair.ModRevision, done)
 	})
 }
 
+// write stores the statistics unless the key was modified after modRevision.
 func (s *statisticsStore) write(cell string, epoch uint64, data []byte, modRevision int64, done func(error)) {
 	key := statisticsPrefix + cell
 	value := binary.BigEndian.AppendUint64(nil, epoch)
@@ -80,7 +82,7 @@
 	}
 	s.service.Transact(transaction, s.timeout, func(result outside.TransactionResult, err error) {
 		if err == nil && !result.Succeeded {
-			err = eris.New("the statistics changed meanwhile")
+			err = eris.New("statistics were changed by a concurrent write")
 		}
 		done(err)
 	})
