--- a/internal/serve/benchmark_test.go
+++ b/internal/serve/benchmark_test.go
@@ -17,7 +17,7 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// fastPlatform has an engine whose own times do not hide the node's.
+// fastPlatform has engines fast enough that the node dominates the latency.
 const fastPlatform = `
 region: attica
 zones: [marousi, piraeus]
@@ -27,14 +27,15 @@
      step_overhead: 20us, step_per_sequence: 1us, max_batch: 256}
 `
 
-const benchmarkQuestion = `{"model":"warm","max_tokens":1,"messages":[{"role":"user","content":"May we visit the school?"}]}`
+const benchmarkRequest = `{"model":"warm","max_tokens":1,"messages":[{"role":"user","content":"May we visit the school?"}]}`
 
 var benchmarkRow = table.Row{
 	Name: "warm", Kind: table.KindModel, Version: "1", WeightBytes: 10_000_000, Tenant: "saronikos",
 	Priority: 5, Weight: 10, MinReplicas: 2, MaxReplicas: 2, MemoryBytes: 1 << 30, TimeLimit: time.Minute, Repeatable: true,
 }
 
-// startBenchmarkNode returns the URL of a node, and a function that ends it.
+// startBenchmarkNode starts a node and returns its URL. The node is stopped at
+// the end of the benchmark.
 func startBenchmarkNode(b *testing.B) string {
 	b.Helper()
 	config, err := suite.Parse([]byte(fastPlatform))
@@ -75,7 +76,7 @@
 	return "http://" + address
 }
 
-// applyBenchmarkTable retries until the node is ready.
+// applyBenchmarkTable puts the table into force, retrying until the node is ready.
 func applyBenchmarkTable(b *testing.B, node string) {
 	b.Helper()
 	body, err := table.Encode(table.FormatJSON, 0, []table.Row{benchmarkRow})
@@ -96,9 +97,9 @@
 	}
 }
 
-// ask sends one request and reports whether it was served.
-func ask(client *http.Client, node string) bool {
-	request, err := http.NewRequest(http.MethodPost, node+"/v1/chat/completions", bytes.NewReader([]byte(benchmarkQuestion)))
+// send sends one request and reports whether it was served.
+func send(client *http.Client, node string) bool {
+	request, err := http.NewRequest(http.MethodPost, node+"/v1/chat/completions", bytes.NewReader([]byte(benchmarkRequest)))
 	if err != nil {
 		return false
 	}
@@ -112,13 +113,13 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// BenchmarkWarmModel measures requests for a loaded model: caller, node and
-// stand-in engine in one process, over loopback TCP.
+// BenchmarkWarmModel measures requests for a loaded model, with the caller, the
+// node and the stand-in engine in one process over loopback TCP.
 func BenchmarkWarmModel(b *testing.B) {
 	node := startBenchmarkNode(b)
 	applyBenchmarkTable(b, node)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
-	for !ask(client, node) {
+	for !send(client, node) {
 		time.Sleep(10 * time.Millisecond)
 	}
 	b.ReportAllocs()
@@ -126,7 +127,7 @@
 	b.ResetTimer()
 	b.RunParallel(func(next *testing.PB) {
 		for next.Next() {
-			if !ask(client, node) {
+			if !send(client, node) {
 				b.Error("a request for a loaded model was not served")
 				return
 			}
--- a/internal/serve/handler.go
+++ b/internal/serve/handler.go
@@ -12,7 +12,7 @@
 	"github.com/hatchplank/hatchplank/internal/node"
 )
 
-// handler builds the HTTP interface over the node.
+// handler builds the HTTP handler of the node.
 func (p *Process) handler() (http.Handler, error) {
 	credentials, err := p.settings.Credentials()
 	if err != nil {
@@ -58,11 +58,11 @@
 	return limits
 }
 
-// drainer is the api.Drainer over a node; drained is closed when the node has
-// handed everything over.
+// drainer implements api.Drainer for a node.
 type drainer struct {
-	node    *node.Node
-	once    sync.Once
+	node *node.Node
+	once sync.Once
+	// drained is closed when the drain is complete.
 	drained chan struct{}
 }
 
--- a/internal/serve/health.go
+++ b/internal/serve/health.go
@@ -9,47 +9,48 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// Health questions to the platform's services.
+// Parameters of the health probes of the platform's services.
 const (
-	healthPeriod  = 10 * time.Second
-	healthTimeout = 2 * time.Second
-	// healthKey does not exist; reading it shows whether the service answers.
-	healthKey = "health"
+	healthProbeInterval = 10 * time.Second
+	healthProbeTimeout  = 2 * time.Second
+	// healthProbeKey does not exist; a read of it shows whether the service
+	// responds.
+	healthProbeKey = "health"
 )
 
-// health observes the node's calls to the platform's services, which tell how
-// these are. The machine list is read every second; the others may go without a
-// call for long, so they are asked every period.
+// health reports the health of the platform's services as observed by the node's
+// calls to them. The machine list is read every second anyway; the other services
+// may see no call for a long time, so they are probed periodically.
 type health struct {
 	clock     clock.Clock
 	keyValues outside.KeyValueService
 	machines  outside.MachineListService
 	weights   outside.WeightStoreService
-	// report tells how the newest calls ended.
+	// report returns the results of the latest calls.
 	report func() api.PlatformHealth
 	stop   func()
 }
 
 func newHealth(c clock.Clock, keyValues outside.KeyValueService, machines outside.MachineListService, weights outside.WeightStoreService) *health {
-	ofKeyValues := nodestatus.NewServiceObserver("key-value", c)
-	ofMachines := nodestatus.NewServiceObserver("machine list", c)
-	ofWeights := nodestatus.NewServiceObserver("weight store", c)
+	keyValueObserver := nodestatus.NewServiceObserver("key-value", c)
+	machineObserver := nodestatus.NewServiceObserver("machine list", c)
+	weightObserver := nodestatus.NewServiceObserver("weight store", c)
 	return &health{
 		clock:     c,
-		keyValues: nodestatus.ObserveKeyValues(keyValues, ofKeyValues),
-		machines:  nodestatus.ObserveMachines(machines, ofMachines),
-		weights:   nodestatus.ObserveWeights(weights, ofWeights),
-		report:    nodestatus.HealthOf(ofKeyValues, ofMachines, ofWeights),
+		keyValues: nodestatus.ObserveKeyValues(keyValues, keyValueObserver),
+		machines:  nodestatus.ObserveMachines(machines, machineObserver),
+		weights:   nodestatus.ObserveWeights(weights, weightObserver),
+		report:    nodestatus.HealthOf(keyValueObserver, machineObserver, weightObserver),
 	}
 }
 
-// start asks at once and then every period.
+// start probes at once and then every healthProbeInterval.
 func (h *health) start() {
-	h.ask()
-	h.stop = clock.Repeat(h.clock, healthPeriod, h.ask)
+	h.probe()
+	h.stop = clock.Repeat(h.clock, healthProbeInterval, h.probe)
 }
 
-func (h *health) ask() {
-	h.keyValues.Range(healthKey, healthTimeout, func(outside.RangeResult, error) {})
-	h.weights.Status(healthTimeout, func(outside.WeightStoreStatus, error) {})
+func (h *health) probe() {
+	h.keyValues.Range(healthProbeKey, healthProbeTimeout, func(outside.RangeResult, error) {})
+	h.weights.Status(healthProbeTimeout, func(outside.WeightStoreStatus, error) {})
 }
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -6,21 +6,22 @@
 	"github.com/hatchplank/hatchplank/internal/telemetry"
 )
 
-// gauge is a metric that is read when metrics are gathered.
+// gauge is a metric whose value is read when metrics are gathered. It is
+// registered as a counter if counter is set.
 type gauge struct {
-	name, meaning string
-	counter       bool
-	value         func() float64
+	name, help string
+	counter    bool
+	value      func() float64
 }
 
-// registerMetrics adds the metrics of the node's parts.
+// registerMetrics registers the metrics of the node's components.
 func registerMetrics(metrics *telemetry.Metrics, n *node.Node, transport *tcp.Transport) error {
 	for _, g := range gauges(n, transport) {
 		register := metrics.RegisterGauge
 		if g.counter {
 			register = metrics.RegisterCounter
 		}
-		if err := register(g.name, g.meaning, g.value); err != nil {
+		if err := register(g.name, g.help, g.value); err != nil {
 			return err
 		}
 	}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -1,5 +1,5 @@
-// Package serve runs one node as a process: it binds the node's parts to real
-// time, TCP and HTTP, and ends in order when it is told to stop.
+// Package serve runs one node as a process: it runs the node on the system clock,
+// TCP and HTTP, and shuts it down gracefully when its context ends.
 package serve
 
 import (
@@ -28,14 +28,15 @@
 	"github.com/hatchplank/hatchplank/internal/telemetry"
 )
 
-// certificatePeriod is how often certificate files are looked at.
-const certificatePeriod = 10 * time.Second
+// certificatePollInterval is how often the certificate files are checked for
+// changes.
+const certificatePollInterval = 10 * time.Second
 
-// lastAnswers is how long HTTP connections have to end after the node has
-// drained.
-const lastAnswers = 5 * time.Second
+// httpShutdownGrace is how long HTTP connections may take to finish after the
+// node has drained.
+const httpShutdownGrace = 5 * time.Second
 
-// Process is one node with everything around it.
+// Process is one node with its listeners, clients and metrics.
 type Process struct {
 	settings settings.Settings
 	logger   zerolog.Logger
@@ -49,13 +50,13 @@
 	health    *health
 	listener  net.Listener
 	drainer   *drainer
-	// failures holds the fault for which the process ends, if any.
+	// failures holds the fatal error that ends the process, if any.
 	failures chan error
 }
 
-// New opens the listeners and assembles the node. Run makes it work.
-func New(chosen settings.Settings, logger zerolog.Logger) (*Process, error) {
-	p := &Process{settings: chosen, logger: logger, clock: clock.System{}, metrics: telemetry.NewMetrics(), failures: make(chan error, 1)}
+// New opens the listeners and assembles the node; Run starts it.
+func New(config settings.Settings, logger zerolog.Logger) (*Process, error) {
+	p := &Process{settings: config, logger: logger, clock: clock.System{}, metrics: telemetry.NewMetrics(), failures: make(chan error, 1)}
 	if err := p.openListeners(); err != nil {
 		return nil, err
 	}
@@ -68,7 +69,8 @@
 	return p, nil
 }
 
-// CallerAddress is where callers and administration are served.
+// CallerAddress returns the address at which callers and administrators are
+// served.
 func (p *Process) CallerAddress() string { return p.listener.Addr().String() }
 
 func (p *Process) openListeners() error {
@@ -87,7 +89,7 @@
 	return nil
 }
 
-// self describes this process to the other nodes.
+// self returns the membership record of this process.
 func (p *Process) self() membership.Member {
 	return membership.Member{
 		Name: p.settings.Node.Name, Incarnation: uuid.NewString(),
@@ -102,13 +104,13 @@
 		return eris.Wrap(err, "key-value service")
 	}
 	p.keyValues = keyValues
-	machines := httpapi.NewMachineList(hostOf(p.settings.Platform.MachineList), httpapi.Options{})
-	weights := httpapi.NewWeightStore(hostOf(p.settings.Platform.WeightStore), httpapi.Options{})
+	machines := httpapi.NewMachineList(hostPort(p.settings.Platform.MachineList), httpapi.Options{})
+	weights := httpapi.NewWeightStore(hostPort(p.settings.Platform.WeightStore), httpapi.Options{})
 	p.health = newHealth(p.clock, keyValues, machines, weights)
 	p.node, err = node.New(node.Config{
 		Self: p.self(), Settings: p.settings, Clock: p.clock, Seed: rand.Uint64(),
-		KeyValues: p.health.keyValues, Engines: httpapi.NewEngines(p.lookup, httpapi.Options{}),
-		BackEnds: httpapi.NewBackEnds(p.lookup, httpapi.Options{}), Machines: p.health.machines, Weights: p.health.weights,
+		KeyValues: p.health.keyValues, Engines: httpapi.NewEngines(p.serverAddress, httpapi.Options{}),
+		BackEnds: httpapi.NewBackEnds(p.serverAddress, httpapi.Options{}), Machines: p.health.machines, Weights: p.health.weights,
 		Transport: p.transport, Logger: p.logger, Mechanisms: applier.AllMechanisms(),
 		OnFatalError: p.fail,
 	})
@@ -119,15 +121,15 @@
 	return nil
 }
 
-// fail ends the process with an error, in order.
+// fail drains the node, after which Run returns the error.
 func (p *Process) fail(err error) {
 	p.failures <- err
 	p.drainer.Drain()
 }
 
-// hostOf returns the host and port of a service's URL, which the settings have
-// checked.
-func hostOf(address string) string {
+// hostPort returns the host and port of a service's URL, which was validated with
+// the settings.
+func hostPort(address string) string {
 	parsed, err := url.Parse(address)
 	if err != nil || parsed.Host == "" {
 		return address
@@ -148,24 +150,24 @@
 	})
 }
 
-// lookup returns the address of a server on the machine list.
-func (p *Process) lookup(server outside.ServerID) (string, bool) {
+// serverAddress returns the address of a server in the machine list.
+func (p *Process) serverAddress(server outside.ServerID) (string, bool) {
 	machine, known := p.node.Machines.Machine(server)
 	return machine.Address, known
 }
 
-// Run serves until the context ends, then stops in order: it refuses new work,
-// finishes what runs, hands its roles over and returns.
+// Run serves until the context ends and then shuts down gracefully: it rejects
+// new requests, completes those in flight, hands its roles over and returns.
 func (p *Process) Run(ctx context.Context) error {
 	handler, err := p.handler()
 	if err != nil {
 		return err
 	}
-	options := api.ServeOptions{Grace: lastAnswers, Limits: p.limits()}
+	options := api.ServeOptions{Grace: httpShutdownGrace, Limits: p.limits()}
 	if p.settings.TLS.Certificate != "" {
 		reloader, err := auth.NewCertificateReloader(auth.CertificateFiles{
 			Certificate: p.settings.TLS.Certificate, Key: p.settings.TLS.Key,
-		}, p.clock, certificatePeriod, p.logger)
+		}, p.clock, certificatePollInterval, p.logger)
 		if err != nil {
 			return eris.Wrap(err, "certificate")
 		}
@@ -182,7 +184,8 @@
 }
 
 // serveUntilDrained keeps the listener open while the node drains, so that
-// requests in progress get their answers and new ones a proper refusal.
+// requests in flight are answered and new ones get a refusal instead of a
+// connection error.
 func (p *Process) serveUntilDrained(ctx context.Context, serve func(context.Context) error) error {
 	serving, stopServing := context.WithCancel(context.Background())
 	defer stopServing()
--- a/internal/serve/serve_suite_test.go
+++ b/internal/serve/serve_suite_test.go
@@ -28,23 +28,23 @@
 	RunSpecs(t, "Serve Suite")
 }
 
-// Tokens of the examples' settings.
+// Tokens from the example settings.
 const (
 	adminToken  = "example-schools-admin"
 	callerToken = "example-saronikos-caller"
 )
 
-// patience bounds every wait; nothing is expected to take that long.
-const patience = 60 * time.Second
+// waitLimit is the timeout of every wait, far above what is expected.
+const waitLimit = 60 * time.Second
 
-// loadSpeed makes loads of models so many times faster.
-const loadSpeed = 200
+// timeScale is the factor by which models load faster.
+const timeScale = 200
 
-// quiet drops all log lines.
-var quiet = zerolog.Nop()
+// noLog discards all log lines.
+var noLog = zerolog.Nop()
 
-// logOf is a node's log, which is shown with a spec that fails.
-func logOf(name string) zerolog.Logger {
+// specLogger returns a node's logger, whose output is shown if the spec fails.
+func specLogger(name string) zerolog.Logger {
 	return zerolog.New(GinkgoWriter).With().Timestamp().Str("node", name).Logger()
 }
 
@@ -52,14 +52,14 @@
 	GinkgoHelper()
 	config, err := suite.BuiltIn(examples.Schools)
 	Expect(err).NotTo(HaveOccurred())
-	config.TimeScale = loadSpeed
-	running, err := suite.Start(config, suite.AllParts, quiet)
+	config.TimeScale = timeScale
+	running, err := suite.Start(config, suite.AllParts, noLog)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(running.Close)
 	return running
 }
 
-// settingsFor are the examples' settings with addresses chosen by the system.
+// settingsFor returns the example settings with addresses chosen by the system.
 func settingsFor(platform *suite.Suite, name, zone string) settings.Settings {
 	GinkgoHelper()
 	deployment, err := examples.Load(examples.Schools)
@@ -82,7 +82,7 @@
 	return "http://" + address
 }
 
-// runningNode is a node and what its Run returned.
+// runningNode is a node whose Run is in progress; stopped receives its result.
 type runningNode struct {
 	url     string
 	stop    context.CancelFunc
@@ -91,13 +91,13 @@
 
 func startNode(chosen settings.Settings) *runningNode {
 	GinkgoHelper()
-	process, err := serve.New(chosen, logOf(chosen.Node.Name))
+	process, err := serve.New(chosen, specLogger(chosen.Node.Name))
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
 	node := &runningNode{url: "http://" + process.CallerAddress(), stop: cancel, stopped: make(chan error, 1)}
 	go func() { node.stopped <- process.Run(ctx) }()
 	DeferCleanup(node.stop)
-	Eventually(node.readiness, patience).Should(Equal(http.StatusOK))
+	Eventually(node.readiness, waitLimit).Should(Equal(http.StatusOK))
 	return node
 }
 
@@ -110,7 +110,7 @@
 	return response.StatusCode
 }
 
-// applyTable makes the examples' table the table.
+// applyTable puts the example table into force.
 func (n *runningNode) applyTable(ctx context.Context) {
 	GinkgoHelper()
 	deployment, err := examples.Load(examples.Schools)
@@ -131,7 +131,7 @@
 	return openai.NewClientWithConfig(config)
 }
 
-// setKeyValueFaults switches the faults of the key-value service.
+// setKeyValueFaults sets the injected faults of the key-value service.
 func setKeyValueFaults(ctx context.Context, platform *suite.Suite, faults string) {
 	GinkgoHelper()
 	address := urlOf(platform, suite.PartKeyValue) + keyvalue.PathControlFaults
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -22,7 +22,7 @@
 
 const testModel = "saronikos-reply-english-8b"
 
-func question(tokens int) openai.ChatCompletionRequest {
+func chatRequest(tokens int) openai.ChatCompletionRequest {
 	return openai.ChatCompletionRequest{
 		//lint:ignore SA1019 the stand-in engine reads the older name
 		Model: testModel, MaxTokens: tokens,
@@ -30,7 +30,7 @@
 	}
 }
 
-// expectedText is what the stand-in engine says to a request's body.
+// expectedText returns the stand-in engine's answer to a request.
 func expectedText(request openai.ChatCompletionRequest) string {
 	GinkgoHelper()
 	body, err := json.Marshal(request)
@@ -38,7 +38,7 @@
 	return engine.ExpectedText("/v1/chat/completions", body)
 }
 
-// readRest reads a stream to its end.
+// readRest reads a stream to its end and returns the text.
 func readRest(stream *openai.ChatCompletionStream) (string, error) {
 	var text strings.Builder
 	for {
@@ -56,72 +56,73 @@
 }
 
 var _ = Describe("nodes as processes", func() {
-	It("load a cold model, and cut off nothing when one of them stops", func(ctx SpecContext) {
+	It("load a cold model, and interrupt no request when one of them shuts down", func(ctx SpecContext) {
 		platform := startPlatform()
 		first := startNode(settingsFor(platform, "first", "marousi"))
 		second := startNode(settingsFor(platform, "second", "piraeus"))
 		first.applyTable(ctx)
 
-		By("answering at the node that did not take the table")
-		callable := func() error {
-			_, err := second.client().CreateChatCompletion(ctx, question(4))
+		By("answering at the node to which the table was not sent")
+		callSecond := func() error {
+			_, err := second.client().CreateChatCompletion(ctx, chatRequest(4))
 			return err
 		}
-		Eventually(callable, patience).Should(Succeed())
+		Eventually(callSecond, waitLimit).Should(Succeed())
 
-		By("streaming while the node stops")
-		request := question(200)
+		By("streaming while the node shuts down")
+		request := chatRequest(200)
 		request.Stream = true
 		stream, err := first.client().CreateChatCompletionStream(ctx, request)
 		Expect(err).NotTo(HaveOccurred())
 		opening, err := stream.Recv()
 		Expect(err).NotTo(HaveOccurred())
 		first.stop()
-		Eventually(refusalCode, patience).WithArguments(ctx, first).Should(Equal(result.NodeDraining.Name()))
+		Eventually(refusalCode, waitLimit).WithArguments(ctx, first).Should(Equal(result.NodeDraining.Name()))
 		Expect(first.readiness()).To(Equal(http.StatusServiceUnavailable))
 		rest, err := readRest(stream)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(opening.Choices[0].Delta.Content + rest).To(Equal(expectedText(request)))
-		Eventually(first.stopped, patience).Should(Receive(BeNil()))
+		Eventually(first.stopped, waitLimit).Should(Receive(BeNil()))
 
-		By("serving on at the other node")
-		Expect(callable()).To(Succeed())
+		By("continuing to serve at the other node")
+		Expect(callSecond()).To(Succeed())
 		second.stop()
-		Eventually(second.stopped, patience).Should(Receive(BeNil()))
+		Eventually(second.stopped, waitLimit).Should(Receive(BeNil()))
 	})
 
-	// Guards against a keyed request that runs again at the node which took over the claims.
-	It("keep the claims when the last of them stops, though the key-value service is out for a while", func(ctx SpecContext) {
+	// Guards against a request with an idempotency key that runs again at the node that took over
+	// the claims.
+	It("keep the claims when the last of them shuts down during an outage of the key-value service", func(ctx SpecContext) {
 		platform := startPlatform()
-		showRuns(platform)
+		printRunsOnFailure(platform)
 		last := startNode(settingsFor(platform, "last", "marousi"))
-		Eventually(last.confirm, patience).WithArguments(ctx).Should(Equal(http.StatusOK))
-		Expect(runs(platform)).To(Equal(1), "before the planned stop")
+		Eventually(last.confirmSeat, waitLimit).WithArguments(ctx).Should(Equal(http.StatusOK))
+		Expect(executionCount(platform)).To(Equal(1), "before the planned shutdown")
 		setKeyValueFaults(ctx, platform, `{"outage":true}`)
 		last.stop()
-		Eventually(last.readiness, patience).ShouldNot(Equal(http.StatusOK))
+		Eventually(last.readiness, waitLimit).ShouldNot(Equal(http.StatusOK))
 		setKeyValueFaults(ctx, platform, `{}`)
-		Eventually(last.stopped, patience).Should(Receive(BeNil()))
-		Expect(runs(platform)).To(Equal(1), "after the planned stop")
+		Eventually(last.stopped, waitLimit).Should(Receive(BeNil()))
+		Expect(executionCount(platform)).To(Equal(1), "after the planned shutdown")
 
 		next := startNode(settingsFor(platform, "next", "piraeus"))
-		Eventually(next.confirm, patience).WithArguments(ctx).Should(Or(Equal(http.StatusOK), Equal(http.StatusConflict)))
-		Expect(runs(platform)).To(Equal(1))
+		Eventually(next.confirmSeat, waitLimit).WithArguments(ctx).Should(Or(Equal(http.StatusOK), Equal(http.StatusConflict)))
+		Expect(executionCount(platform)).To(Equal(1))
 	})
 
-	It("report addresses that can't be listened at", func() {
+	It("report an address that is already in use", func() {
 		platform := startPlatform()
 		node := startNode(settingsFor(platform, "only", "marousi"))
 		chosen := settingsFor(platform, "another", "marousi")
 		chosen.Listen.Callers = strings.TrimPrefix(node.url, "http://")
-		_, err := serve.New(chosen, quiet)
+		_, err := serve.New(chosen, noLog)
 		Expect(err).To(MatchError(ContainSubstring("listen for callers")))
 	})
 })
 
-// refusalCode asks the node and returns the code of its refusal.
+// refusalCode sends a request to the node and returns the code of its refusal.
 func refusalCode(ctx context.Context, node *runningNode) any {
-	_, err := node.client().CreateChatCompletion(ctx, question(4))
+	_, err := node.client().CreateChatCompletion(ctx, chatRequest(4))
 	var refused *openai.APIError
 	if !errors.As(err, &refused) {
 		return err
@@ -129,8 +130,8 @@
 	return refused.Code
 }
 
-// confirm sends a request that must run at most once and returns the status.
-func (n *runningNode) confirm(ctx context.Context) int {
+// confirmSeat sends a request that must run at most once and returns the status.
+func (n *runningNode) confirmSeat(ctx context.Context) int {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, n.url+"/v1/backends/eggrafi/v1/seats/confirm", strings.NewReader("{}"))
 	if err != nil {
 		return 0
@@ -145,9 +146,9 @@
 	return response.StatusCode
 }
 
-// showRuns writes what reached the servers to the output of a spec that fails. The attempt's
-// name begins with its node and that node's incarnation.
-func showRuns(platform *suite.Suite) {
+// printRunsOnFailure prints the calls that back-end servers received and ran if the spec fails. An
+// attempt's name begins with its node and that node's incarnation.
+func printRunsOnFailure(platform *suite.Suite) {
 	DeferCleanup(func() {
 		for _, event := range platform.Log().Events() {
 			if event.Kind == record.KindBackEndReceived || event.Kind == record.KindBackEndRun {
@@ -158,5 +159,7 @@
 	})
 }
 
-// runs counts what the servers ran.
-func runs(platform *suite.Suite) int { return int(platform.Log().Count(record.KindBackEndRun)) }
+// executionCount returns how many calls the back-end servers ran.
+func executionCount(platform *suite.Suite) int {
+	return int(platform.Log().Count(record.KindBackEndRun))
+}
