--- a/internal/peer/tcp/bad_peer_test.go
+++ b/internal/peer/tcp/bad_peer_test.go
@@ -15,20 +15,20 @@
 	"github.com/rs/zerolog"
 )
 
-// frameOf puts a length before the bytes.
+// frameOf returns a frame with the given content.
 func frameOf(content []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(content))), content...)
 }
 
-// wellFormed returns the frame of an envelope on a new gob stream.
-func wellFormed(message envelope) []byte {
+// encodedFrame returns the frame of an envelope on a new gob stream.
+func encodedFrame(message envelope) []byte {
 	frame, err := newEncoder(DefaultMaxFrameBytes).encode(&message)
 	Expect(err).NotTo(HaveOccurred())
 	return bytes.Clone(frame)
 }
 
-var _ = Describe("A bad peer", func() {
-	DescribeTable("has its connection closed and logged, and others are served on",
+var _ = Describe("A peer that violates the protocol", func() {
+	DescribeTable("has its connection closed and logged, while other peers are still served",
 		func(secret string, send func() []byte) {
 			config := testConfig()
 			log := gbytes.NewBuffer()
@@ -39,7 +39,7 @@
 			defer conn.Close()
 			Expect(conn.SetDeadline(time.Now().Add(longTimeout))).To(Succeed())
 			if secret != "" {
-				// The proof of a wrong secret fails at the other side.
+				// With a wrong secret, the other side rejects the proof.
 				_ = dialHandshake(conn, []byte(secret), "peer")
 			}
 			if send != nil {
@@ -50,25 +50,25 @@
 			Expect(server.Statistics().ProtocolViolations).To(BeEquivalentTo(1))
 
 			client := startTransport(testConfig(), nil)
-			Eventually(ask(client, server.Address(), question{Number: 3}, longTimeout), longTimeout).
-				Should(Receive(Equal(ended{message: answer{Number: 3}})))
+			Eventually(startCall(client, server.Address(), testRequest{Number: 3}, longTimeout), longTimeout).
+				Should(Receive(Equal(callResult{message: testReply{Number: 3}})))
 		},
 		Entry("that speaks HTTP", "", func() []byte { return []byte("GET / HTTP/1.1\r\nHost: peer\r\n\r\n") }),
-		Entry("with a wrong proof", "", func() []byte { return append([]byte(magic), make([]byte, 100)...) }),
+		Entry("with a wrong proof", "", func() []byte { return append([]byte(protocolMagic), make([]byte, 100)...) }),
 		Entry("with another secret", "other", nil),
 		Entry("with a frame over the limit", testSecret, func() []byte { return []byte{0xff, 0xff, 0xff, 0xff} }),
-		Entry("with an empty frame", testSecret, func() []byte { return make([]byte, lengthBytes) }),
+		Entry("with an empty frame", testSecret, func() []byte { return make([]byte, lengthPrefixBytes) }),
 		Entry("with garbage in a frame", testSecret, func() []byte { return frameOf([]byte(strings.Repeat("garbage ", 100))) }),
 		Entry("with a gob length beyond the frame", testSecret, func() []byte { return frameOf([]byte{0xfc, 0x3f, 0xff, 0xff, 0xff, 1}) }),
 		Entry("with bytes after the message", testSecret, func() []byte {
-			frame := wellFormed(envelope{Kind: envelopeCall, ID: 1, Message: question{}})
-			return frameOf(append(frame[lengthBytes:], 0))
+			frame := encodedFrame(envelope{Kind: envelopeCall, ID: 1, Message: testRequest{}})
+			return frameOf(append(frame[lengthPrefixBytes:], 0))
 		}),
-		Entry("with a reply nobody asked for", testSecret, func() []byte {
-			return wellFormed(envelope{Kind: envelopeReply, ID: 1, Message: answer{}})
+		Entry("with a reply without a call", testSecret, func() []byte {
+			return encodedFrame(envelope{Kind: envelopeReply, ID: 1, Message: testReply{}})
 		}),
-		Entry("with a call without message", testSecret, func() []byte { return wellFormed(envelope{Kind: envelopeCall, ID: 1}) }),
-		Entry("with an unknown kind", testSecret, func() []byte { return wellFormed(envelope{Kind: 9, Message: question{}}) }),
+		Entry("with a call without message", testSecret, func() []byte { return encodedFrame(envelope{Kind: envelopeCall, ID: 1}) }),
+		Entry("with an unknown kind", testSecret, func() []byte { return encodedFrame(envelope{Kind: 9, Message: testRequest{}}) }),
 	)
 
 	It("is not sent anything when it does not know the secret", func() {
@@ -76,13 +76,13 @@
 		config.Secret = []byte("other")
 		impostor := startTransport(config, echo)
 		client := startTransport(testConfig(), nil)
-		var end ended
-		Eventually(ask(client, impostor.Address(), question{}, longTimeout), longTimeout).Should(Receive(&end))
+		var end callResult
+		Eventually(startCall(client, impostor.Address(), testRequest{}, longTimeout), longTimeout).Should(Receive(&end))
 		Expect(end.err).To(HaveOccurred())
 		Expect(impostor.Statistics().MessagesReceived).To(BeZero())
 	})
 
-	It("can't hold more than the allowed handshakes", func() {
+	It("can't have more handshakes in progress than the limit", func() {
 		config := testConfig()
 		config.MaxHandshakes = 2
 		server := startTransport(config, echo)
@@ -94,7 +94,7 @@
 		Eventually(func() uint64 { return server.Statistics().RejectedConnections }, longTimeout).Should(BeEquivalentTo(3))
 	})
 
-	It("costs no more memory than it sends", func() {
+	It("can't make a buffer grow beyond the bytes that it sends", func() {
 		var buffer bytes.Buffer
 		claim := binary.BigEndian.AppendUint32(nil, DefaultMaxFrameBytes)
 		err := readFrame(bytes.NewReader(append(claim, "short"...)), &buffer, DefaultMaxFrameBytes)
--- a/internal/peer/tcp/benchmark_test.go
+++ b/internal/peer/tcp/benchmark_test.go
@@ -16,7 +16,7 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(server.Close)
-	server.Handle(question{}, echo)
+	server.Handle(testRequest{}, echo)
 	server.Start()
 	client, err = New(config)
 	if err != nil {
@@ -29,16 +29,17 @@
 func call(b *testing.B, client *Transport, address string, number int) {
 	var waiting sync.WaitGroup
 	waiting.Add(1)
-	client.Call(address, question{Number: number}, longTimeout, func(message peer.Message, err error) {
+	client.Call(address, testRequest{Number: number}, longTimeout, func(message peer.Message, err error) {
 		defer waiting.Done()
-		if err != nil || message.(answer).Number != number {
+		if err != nil || message.(testReply).Number != number {
 			b.Error("wrong answer", message, err)
 		}
 	})
 	waiting.Wait()
 }
 
-// reportBytes reports the mean size of a small message, types described before.
+// reportBytes reports the mean size of a small message on a gob stream that has
+// already described the types.
 func reportBytes(b *testing.B, before, after Statistics) {
 	messages := float64(after.MessagesSent - before.MessagesSent)
 	b.ReportMetric(float64(after.BytesSent-before.BytesSent)/messages, "bytes/message")
--- a/internal/peer/tcp/codec.go
+++ b/internal/peer/tcp/codec.go
@@ -10,22 +10,23 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// envelopeKind says how a message is to be treated.
+// envelopeKind tells calls, one-way messages and replies apart.
 type envelopeKind uint8
 
-// The kinds of envelope. The zero value is none, so that an empty one shows.
+// The kinds of envelope. The zero value is not a kind, so that an empty envelope
+// is detected.
 const (
 	envelopeCall envelopeKind = iota + 1
 	envelopeOneWay
 	envelopeReply
 )
 
-// envelope is what a frame carries.
+// envelope is the content of a frame.
 type envelope struct {
 	Kind envelopeKind
-	// ID matches a reply to its call.
+	// ID of a call, repeated in its reply.
 	ID uint64
-	// Failure is the text of a reply's error.
+	// Failure is the error text of a reply; empty if the call succeeded.
 	Failure string
 	Message peer.Message
 }
@@ -34,18 +35,18 @@
 	switch e.Kind {
 	case envelopeCall, envelopeOneWay:
 		if e.Message == nil {
-			return fmt.Errorf("%w: no message", errBadFrame)
+			return fmt.Errorf("%w: message is missing", errBadFrame)
 		}
 		return nil
 	case envelopeReply:
 		return nil
 	default:
-		return fmt.Errorf("%w: kind %d", errBadFrame, e.Kind)
+		return fmt.Errorf("%w: unknown envelope kind %d", errBadFrame, e.Kind)
 	}
 }
 
-// encoder writes envelopes as frames of one gob stream, which describes each
-// type once. After an error it must not be used any more.
+// encoder encodes envelopes as frames of one gob stream, which describes each
+// type only once. It must not be used after an error.
 type encoder struct {
 	buffer bytes.Buffer
 	gob    *gob.Encoder
@@ -58,19 +59,20 @@
 	return created
 }
 
-// encode returns the frame, which is valid until the next call.
+// encode returns the envelope's frame, which is valid until the next call. The
+// error matches errMessageTooLarge if the frame exceeds the limit.
 func (e *encoder) encode(message *envelope) ([]byte, error) {
-	if e.buffer.Cap() > maxKeptBuffer {
+	if e.buffer.Cap() > maxRetainedBufferBytes {
 		e.buffer = bytes.Buffer{}
 	}
 	e.buffer.Reset()
-	var prefix [lengthBytes]byte
+	var prefix [lengthPrefixBytes]byte
 	e.buffer.Write(prefix[:])
 	if err := e.gob.Encode(message); err != nil {
 		return nil, err
 	}
 	frame := e.buffer.Bytes()
-	length := len(frame) - lengthBytes
+	length := len(frame) - lengthPrefixBytes
 	if length > e.limit {
 		return nil, fmt.Errorf("%w: %d bytes, limit %d", errMessageTooLarge, length, e.limit)
 	}
@@ -78,8 +80,7 @@
 	return frame, nil
 }
 
-// decoder reads the frames of one gob stream. After an error it must not be
-// used any more.
+// decoder reads the frames of one gob stream. It must not be used after an error.
 type decoder struct {
 	source io.Reader
 	buffer bytes.Buffer
@@ -93,23 +94,24 @@
 	return created
 }
 
-// decode reads one envelope and returns the size of its frame. Errors match
-// errBadFrame unless the connection broke between frames.
+// decode reads one envelope and returns the size of its frame in bytes. Errors
+// match errBadFrame unless reading from the connection failed.
 func (d *decoder) decode() (message envelope, size int, err error) {
 	if err := readFrame(d.source, &d.buffer, d.limit); err != nil {
 		return envelope{}, 0, err
 	}
-	size = lengthBytes + d.buffer.Len()
+	size = lengthPrefixBytes + d.buffer.Len()
 	if err := d.decodeGob(&message); err != nil {
 		return envelope{}, size, fmt.Errorf("%w: %w", errBadFrame, err)
 	}
 	if d.buffer.Len() > 0 {
-		return envelope{}, size, fmt.Errorf("%w: %d bytes too many", errBadFrame, d.buffer.Len())
+		return envelope{}, size, fmt.Errorf("%w: %d bytes after the message", errBadFrame, d.buffer.Len())
 	}
 	return message, size, message.validate()
 }
 
-// decodeGob turns a panic of the gob decoder on malformed input into an error.
+// decodeGob decodes one gob value, and returns a panic of the gob decoder on
+// malformed input as an error.
 func (d *decoder) decodeGob(message *envelope) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -119,7 +121,7 @@
 	return d.gob.Decode(message)
 }
 
-// checkEncodable reports whether gob can encode a message at all.
+// checkEncodable returns an error if gob can't encode the message.
 func checkEncodable(message peer.Message) error {
 	return gob.NewEncoder(io.Discard).Encode(&envelope{Kind: envelopeOneWay, Message: message})
 }
--- a/internal/peer/tcp/config.go
+++ b/internal/peer/tcp/config.go
@@ -1,9 +1,9 @@
-// Package tcp is the peer.Transport between real nodes: one TCP connection to
+// Package tcp implements peer.Transport over TCP. A node opens one connection to
 // each peer, on which calls are multiplexed as length-prefixed gob messages.
 //
-// A connection starts with a handshake in which both sides prove that they
-// know the cluster's secret. The secret authenticates the connection's start
-// only; where others can write into connections, TLS is needed.
+// A connection begins with a handshake in which both sides prove that they know
+// the cluster secret. Only the handshake is authenticated: where an attacker can
+// inject data into connections, TLS is required.
 package tcp
 
 import (
@@ -33,48 +33,52 @@
 	DefaultMaxBackoff       = 2 * time.Second
 )
 
-// Config configures a Transport. Zero limits stand for the defaults.
+// Config configures a Transport. Limits and timeouts that are zero take their
+// defaults.
 type Config struct {
-	// Listener accepts peers; nil: one is opened at Address.
+	// Listener for peer connections. If nil, one is opened at Address.
 	Listener net.Listener
-	// Address to listen at, such as "127.0.0.1:0"; unused with a Listener.
+	// Address to listen at, such as "127.0.0.1:0"; ignored if Listener is set.
 	Address string
-	// AdvertisedAddress is where peers reach this node; it is what their
-	// handlers get as from. Empty: the listener's address.
+	// AdvertisedAddress is the address at which peers reach this node, and which
+	// their handlers get as from. If empty, the listener's address is used.
 	AdvertisedAddress string
-	// Secret shared by the cluster; required.
+	// Secret shared by all nodes of the cluster; required.
 	Secret []byte
-	// TLS for both directions; nil: none.
+	// TLS configuration of accepted and dialed connections. If nil, TLS is not
+	// used.
 	TLS    *tls.Config
 	Logger zerolog.Logger
-	// Clock for timeouts of calls, backoff and idle connections; nil: the
-	// machine's.
+	// Clock for call timeouts, backoff and idle connections. If nil, the system
+	// clock is used.
 	Clock clock.Clock
 
-	// MaxFrameBytes bounds one message.
+	// MaxFrameBytes limits the encoded size of one message.
 	MaxFrameBytes int
-	// QueueLength bounds the messages that wait to be sent to one peer, and
-	// the replies that wait on one accepted connection.
+	// QueueLength limits the messages queued for one peer, and the replies
+	// queued on one accepted connection.
 	QueueLength int
-	// MaxPendingCalls bounds the calls to one peer that wait for a reply.
+	// MaxPendingCalls limits the calls to one peer that wait for a reply.
 	MaxPendingCalls int
-	// MaxConnections accepted, and how many of them may be in handshake.
+	// MaxConnections limits the accepted connections, and MaxHandshakes those of
+	// them whose handshake is in progress.
 	MaxConnections int
 	MaxHandshakes  int
-	// HandshakeTimeout and WriteTimeout are on the machine's time.
+	// HandshakeTimeout and WriteTimeout are measured on the system clock.
 	HandshakeTimeout time.Duration
 	WriteTimeout     time.Duration
-	// IdleTimeout after which an unused connection to a peer is closed.
+	// IdleTimeout is how long a connection to a peer may be unused before it is
+	// closed.
 	IdleTimeout time.Duration
-	// MinBackoff and MaxBackoff bound the wait before the next connection
-	// attempt, which doubles with each failure and is jittered.
+	// MinBackoff and MaxBackoff limit the delay before the next connection
+	// attempt, which doubles with each failure and has jitter.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
 }
 
 func (c Config) validate() error {
 	if len(c.Secret) == 0 {
-		return eris.New("the peer transport needs the cluster's secret")
+		return eris.New("the peer transport needs the cluster secret")
 	}
 	if len(c.AdvertisedAddress) > maxAddressBytes {
 		return eris.Errorf("the advertised address is longer than %d bytes", maxAddressBytes)
@@ -99,8 +103,8 @@
 	return c
 }
 
-// backoff returns the wait after a number of failures in a row: from a half up
-// to the whole of the doubled minimum.
+// backoff returns the delay after a number of consecutive failures. It is chosen
+// at random between half of the exponential backoff and all of it.
 func (c Config) backoff(failures int) time.Duration {
 	wait := c.MinBackoff
 	for range failures - 1 {
@@ -113,8 +117,9 @@
 	return wait/2 + rand.N(wait/2+1)
 }
 
-// wait returns a channel that is closed after the delay, and its stop.
-func wait(c clock.Clock, delay time.Duration) (<-chan struct{}, func() bool) {
+// after returns a channel that is closed after the delay, and a function that
+// stops the timer.
+func after(c clock.Clock, delay time.Duration) (<-chan struct{}, func() bool) {
 	passed := make(chan struct{})
 	return passed, c.AfterFunc(delay, func() { close(passed) }).Stop
 }
--- a/internal/peer/tcp/fuzz_test.go
+++ b/internal/peer/tcp/fuzz_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// fuzzFrameLimit is small, so that the limit is reached.
+// fuzzFrameLimit is small enough for the fuzzer to reach it.
 const fuzzFrameLimit = 1 << 12
 
 // FuzzDecoder checks that no input makes the decoder panic, read beyond the
@@ -14,7 +14,7 @@
 	encoder := newEncoder(fuzzFrameLimit)
 	var stream []byte
 	for number := range 2 {
-		frame, err := encoder.encode(&envelope{Kind: envelopeCall, ID: 1, Message: question{Number: number}})
+		frame, err := encoder.encode(&envelope{Kind: envelopeCall, ID: 1, Message: testRequest{Number: number}})
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -30,7 +30,7 @@
 		for {
 			message, size, err := decoder.decode()
 			consumed += size
-			if size > fuzzFrameLimit+lengthBytes || consumed > len(input) {
+			if size > fuzzFrameLimit+lengthPrefixBytes || consumed > len(input) {
 				t.Fatalf("frame of %d bytes, %d of %d consumed", size, consumed, len(input))
 			}
 			if err != nil {
--- a/internal/peer/tcp/handshake.go
+++ b/internal/peer/tcp/handshake.go
@@ -16,32 +16,34 @@
 //	dialer to acceptor: magic, dialer's nonce, dialer's address, proof
 //	acceptor to dialer: proof
 //
-// A proof is an HMAC by the secret over the side's label, both nonces and the
-// dialer's address. An address is one byte of length and its bytes.
+// A proof is an HMAC, keyed with the secret, of the side's label, both nonces and
+// the dialer's address. An address is encoded as one length byte and its bytes.
 const (
-	magic           = "hpk1"
+	protocolMagic   = "hpk1"
 	nonceBytes      = 32
 	maxAddressBytes = 255
 	dialerLabel     = "dialer"
 	acceptorLabel   = "acceptor"
 )
 
-// errHandshake: the other side is no peer, or does not know the secret.
+// errHandshake means that the other side does not speak the protocol or does not
+// know the secret.
 var errHandshake = errors.New("handshake failed")
 
 type nonce [nonceBytes]byte
 
 func newNonce() nonce {
 	var created nonce
-	// rand.Read never returns an error.
+	// crypto/rand.Read never returns an error.
 	_, _ = rand.Read(created[:])
 	return created
 }
 
-// acceptHandshake runs the acceptor's side and returns the dialer's address.
+// acceptHandshake runs the acceptor's side of the handshake and returns the
+// dialer's advertised address.
 func acceptHandshake(conn net.Conn, secret []byte) (address string, err error) {
 	acceptorNonce := newNonce()
-	if _, err := conn.Write(append([]byte(magic), acceptorNonce[:]...)); err != nil {
+	if _, err := conn.Write(append([]byte(protocolMagic), acceptorNonce[:]...)); err != nil {
 		return "", err
 	}
 	dialerNonce, err := readGreeting(conn)
@@ -52,42 +54,43 @@
 	if err != nil {
 		return "", err
 	}
-	if err := checkProof(conn, prove(secret, dialerLabel, acceptorNonce, dialerNonce, address)); err != nil {
+	if err := checkProof(conn, handshakeProof(secret, dialerLabel, acceptorNonce, dialerNonce, address)); err != nil {
 		return "", err
 	}
-	_, err = conn.Write(prove(secret, acceptorLabel, acceptorNonce, dialerNonce, address))
+	_, err = conn.Write(handshakeProof(secret, acceptorLabel, acceptorNonce, dialerNonce, address))
 	return address, err
 }
 
-// dialHandshake runs the dialer's side.
+// dialHandshake runs the dialer's side of the handshake. Address is the dialer's
+// advertised address.
 func dialHandshake(conn net.Conn, secret []byte, address string) error {
 	acceptorNonce, err := readGreeting(conn)
 	if err != nil {
 		return err
 	}
 	dialerNonce := newNonce()
-	hello := append([]byte(magic), dialerNonce[:]...)
+	hello := append([]byte(protocolMagic), dialerNonce[:]...)
 	hello = append(hello, byte(len(address)))
 	hello = append(hello, address...)
-	hello = append(hello, prove(secret, dialerLabel, acceptorNonce, dialerNonce, address)...)
+	hello = append(hello, handshakeProof(secret, dialerLabel, acceptorNonce, dialerNonce, address)...)
 	if _, err := conn.Write(hello); err != nil {
 		return err
 	}
-	return checkProof(conn, prove(secret, acceptorLabel, acceptorNonce, dialerNonce, address))
+	return checkProof(conn, handshakeProof(secret, acceptorLabel, acceptorNonce, dialerNonce, address))
 }
 
 func readGreeting(conn io.Reader) (nonce, error) {
-	var greeting [len(magic) + nonceBytes]byte
-	if _, err := io.ReadFull(conn, greeting[:len(magic)]); err != nil {
+	var greeting [len(protocolMagic) + nonceBytes]byte
+	if _, err := io.ReadFull(conn, greeting[:len(protocolMagic)]); err != nil {
 		return nonce{}, err
 	}
-	if string(greeting[:len(magic)]) != magic {
-		return nonce{}, fmt.Errorf("%w: not a peer", errHandshake)
+	if string(greeting[:len(protocolMagic)]) != protocolMagic {
+		return nonce{}, fmt.Errorf("%w: not a hatchplank peer", errHandshake)
 	}
-	if _, err := io.ReadFull(conn, greeting[len(magic):]); err != nil {
+	if _, err := io.ReadFull(conn, greeting[len(protocolMagic):]); err != nil {
 		return nonce{}, err
 	}
-	return nonce(greeting[len(magic):]), nil
+	return nonce(greeting[len(protocolMagic):]), nil
 }
 
 func readAddress(conn io.Reader) (string, error) {
@@ -111,7 +114,7 @@
 	return nil
 }
 
-func prove(secret []byte, label string, acceptorNonce, dialerNonce nonce, address string) []byte {
+func handshakeProof(secret []byte, label string, acceptorNonce, dialerNonce nonce, address string) []byte {
 	mac := hmac.New(sha256.New, secret)
 	mac.Write([]byte(label))
 	mac.Write(acceptorNonce[:])
--- a/internal/peer/tcp/inbound.go
+++ b/internal/peer/tcp/inbound.go
@@ -11,12 +11,12 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// acceptPause is the wait after a failure to accept.
-const acceptPause = 100 * time.Millisecond
+// acceptRetryDelay is the delay after a failure to accept a connection.
+const acceptRetryDelay = 100 * time.Millisecond
 
 var (
 	errNoHandler      = errors.New("no handler for message")
-	errUnnamedFailure = errors.New("failed without a reason")
+	errEmptyErrorText = errors.New("failed without a reason")
 )
 
 func (t *Transport) acceptLoop() {
@@ -29,8 +29,8 @@
 		if t.context.Err() != nil || errors.Is(err, net.ErrClosed) {
 			return
 		}
-		t.config.Logger.Warn().Err(err).Msg("accepting a peer failed")
-		passed, stop := wait(t.config.Clock, acceptPause)
+		t.config.Logger.Warn().Err(err).Msg("peer connection could not be accepted")
+		passed, stop := after(t.config.Clock, acceptRetryDelay)
 		select {
 		case <-passed:
 		case <-t.context.Done():
@@ -40,27 +40,30 @@
 	}
 }
 
-// admit serves a connection unless there are too many.
+// admit serves a connection unless a limit on connections or handshakes is
+// reached.
 func (t *Transport) admit(conn net.Conn) {
 	select {
 	case t.handshakes <- struct{}{}:
 	default:
-		t.statistics.refusedConnections.Add(1)
+		t.statistics.rejectedConnections.Add(1)
 		_ = conn.Close()
 		return
 	}
-	if !t.register(conn) || !t.goUnlessClosed(func() { t.serveAccepted(conn) }) {
+	if !t.register(conn) || !t.goIfOpen(func() { t.serveAccepted(conn) }) {
 		<-t.handshakes
 		t.unregister(conn)
 		_ = conn.Close()
 	}
 }
 
+// register adds an accepted connection. It returns false if the transport is
+// closed or MaxConnections is reached.
 func (t *Transport) register(conn net.Conn) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.closed || len(t.accepted) >= t.config.MaxConnections {
-		t.statistics.refusedConnections.Add(1)
+		t.statistics.rejectedConnections.Add(1)
 		return false
 	}
 	t.accepted[conn] = struct{}{}
@@ -73,15 +76,15 @@
 	delete(t.accepted, conn)
 }
 
-// serveAccepted runs the handshake and then answers calls.
+// serveAccepted runs the handshake and then serves the connection.
 func (t *Transport) serveAccepted(conn net.Conn) {
 	defer t.unregister(conn)
 	defer conn.Close()
-	secured, from, err := t.welcome(conn)
+	secured, from, err := t.handshakeAccepted(conn)
 	<-t.handshakes
 	if err != nil {
 		if !errors.Is(err, io.EOF) && t.context.Err() == nil {
-			t.complain(conn, err)
+			t.reportViolation(conn, err)
 		}
 		return
 	}
@@ -94,8 +97,10 @@
 	inbound.serve()
 }
 
-// welcome runs the acceptor's handshakes within their time limit.
-func (t *Transport) welcome(conn net.Conn) (secured net.Conn, from string, err error) {
+// handshakeAccepted runs the TLS handshake, if TLS is used, and the acceptor's
+// handshake, both within HandshakeTimeout. It returns the connection to use and
+// the dialer's address.
+func (t *Transport) handshakeAccepted(conn net.Conn) (secured net.Conn, from string, err error) {
 	if err := conn.SetDeadline(time.Now().Add(t.config.HandshakeTimeout)); err != nil {
 		return nil, "", err
 	}
@@ -118,24 +123,24 @@
 	replies   chan outgoing
 }
 
-// serve reads calls on this goroutine and writes replies on another.
+// serve reads messages on this goroutine and writes replies on another.
 func (i *inbound) serve() {
-	ended := make(chan struct{})
+	readEnded := make(chan struct{})
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		i.writeReplies(ended)
+		i.writeReplies(readEnded)
 	}()
 	i.session.readLoop(i.receive)
-	close(ended)
+	close(readEnded)
 	<-written
 }
 
-func (i *inbound) writeReplies(ended <-chan struct{}) {
+func (i *inbound) writeReplies(readEnded <-chan struct{}) {
 	defer i.session.close()
 	for {
 		select {
-		case <-ended:
+		case <-readEnded:
 			return
 		case item := <-i.replies:
 			if !i.writeBatch(item) {
@@ -158,6 +163,8 @@
 	}
 }
 
+// receive passes a message to its handler. A reply is a violation of the protocol,
+// since no calls are sent on accepted connections.
 func (i *inbound) receive(message envelope) error {
 	if message.Kind == envelopeReply {
 		return errBadFrame
@@ -175,15 +182,16 @@
 	return nil
 }
 
-// replyOnce returns the reply function of a call. It may be called from any
-// goroutine, also after the connection has ended.
+// replyOnce returns the reply function of a call, of which only the first call
+// has an effect. It may be called from any goroutine, also after the connection
+// has been closed.
 func (i *inbound) replyOnce(id uint64) func(peer.Message, error) {
 	var replied atomic.Bool
 	return func(message peer.Message, err error) {
 		if !replied.CompareAndSwap(false, true) {
 			return
 		}
-		i.queueReply(i.makeReply(id, message, err))
+		i.enqueueReply(i.makeReply(id, message, err))
 	}
 }
 
@@ -195,13 +203,14 @@
 		return envelope{Kind: envelopeReply, ID: id, Message: message}
 	}
 	if err.Error() == "" {
-		err = errUnnamedFailure
+		err = errEmptyErrorText
 	}
 	return envelope{Kind: envelopeReply, ID: id, Failure: err.Error()}
 }
 
-// queueReply drops the reply when the peer does not take its replies.
-func (i *inbound) queueReply(reply envelope) {
+// enqueueReply queues a reply, and drops it if the queue is full because the peer
+// does not read its replies.
+func (i *inbound) enqueueReply(reply envelope) {
 	select {
 	case i.replies <- outgoing{envelope: reply}:
 	default:
--- a/internal/peer/tcp/link.go
+++ b/internal/peer/tcp/link.go
@@ -11,16 +11,16 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// link sends to one peer, over one connection at a time. It ends when it was
-// idle for long.
+// link sends messages to one peer, over one connection at a time. It closes when
+// it has been idle for IdleTimeout.
 type link struct {
 	transport *Transport
 	address   string
 	queue     chan outgoing
 	pending   *pendingTable
 
-	mutex sync.Mutex
-	ended bool
+	mutex  sync.Mutex
+	closed bool
 }
 
 func newLink(transport *Transport, address string) *link {
@@ -32,12 +32,13 @@
 	}
 }
 
-// enqueue adds a message to the queue, and a call to the table.
+// enqueue queues a message, and adds a call to the table of pending calls. It
+// returns errLinkClosed, errQueueFull or errTooManyCalls if that is not possible.
 func (l *link) enqueue(item outgoing, timeout time.Duration) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.ended {
-		return errLinkEnded
+	if l.closed {
+		return errLinkClosed
 	}
 	if len(l.queue) == cap(l.queue) {
 		return errQueueFull
@@ -50,20 +51,23 @@
 		item.envelope.ID = id
 		item.call.timer = l.transport.config.Clock.AfterFunc(timeout, func() { l.expire(id) })
 	}
-	// Only enqueue adds to the queue, under the mutex, so there is room.
+	// Does not block: only enqueue adds to the queue, while it holds the mutex,
+	// and the queue was not full.
 	l.queue <- item
 	return nil
 }
 
+// expire fails a pending call after its timeout.
 func (l *link) expire(id uint64) {
 	if call, waiting := l.pending.take(id); waiting {
 		call.finish(nil, fmt.Errorf("%w: %w", peer.ErrUnreachable, errTimeout))
 	}
 }
 
-// run connects whenever there is something to send.
+// run connects to the peer whenever there are messages to send, until the link
+// is idle or the transport is closed.
 func (l *link) run() {
-	defer l.end()
+	defer l.close()
 	failures := 0
 	for {
 		first, more := l.next()
@@ -79,16 +83,17 @@
 		} else {
 			failures = l.serve(conn, first, failures)
 		}
-		if failures > 0 && !l.pause(l.transport.config.backoff(failures)) {
+		if failures > 0 && !l.waitBackoff(l.transport.config.backoff(failures)) {
 			return
 		}
 	}
 }
 
-// next waits for a message, until the link is idle or the transport closed.
+// next waits for a message to send. It returns false if the link was idle or the
+// transport was closed.
 func (l *link) next() (outgoing, bool) {
 	for {
-		idle, stop := wait(l.transport.config.Clock, l.transport.config.IdleTimeout)
+		idle, stop := after(l.transport.config.Clock, l.transport.config.IdleTimeout)
 		select {
 		case item := <-l.queue:
 			stop()
@@ -97,28 +102,28 @@
 			stop()
 			return outgoing{}, false
 		case <-idle:
-			if l.endIfIdle() {
+			if l.closeIfIdle() {
 				return outgoing{}, false
 			}
 		}
 	}
 }
 
-// endIfIdle ends the link unless there is something to send or to wait for.
-func (l *link) endIfIdle() bool {
+// closeIfIdle closes the link unless messages are queued or calls are pending.
+func (l *link) closeIfIdle() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if len(l.queue) > 0 || !l.pending.empty() {
 		return false
 	}
-	l.ended = true
+	l.closed = true
 	return true
 }
 
-// end refuses further messages and fails those that wait.
-func (l *link) end() {
+// close rejects further messages and fails those queued and the calls pending.
+func (l *link) close() {
 	l.mutex.Lock()
-	l.ended = true
+	l.closed = true
 	l.mutex.Unlock()
 	l.transport.removeLink(l)
 	l.dropQueued(errClosed)
@@ -136,7 +141,7 @@
 	}
 }
 
-// drop ends a message that was not sent.
+// drop discards a message that was not sent, and fails its call if it is one.
 func (l *link) drop(item outgoing, reason error) {
 	l.transport.statistics.dropped.Add(1)
 	if item.call == nil {
@@ -148,7 +153,7 @@
 	}
 }
 
-// failSent ends the calls whose connection broke.
+// failSent fails the calls that were sent on a connection that was lost.
 func (l *link) failSent(reason error) {
 	for _, call := range l.pending.takeSent() {
 		call.timer.Stop()
@@ -156,8 +161,9 @@
 	}
 }
 
-func (l *link) pause(delay time.Duration) bool {
-	passed, stop := wait(l.transport.config.Clock, delay)
+// waitBackoff waits for the delay. It returns false if the transport was closed.
+func (l *link) waitBackoff(delay time.Duration) bool {
+	passed, stop := after(l.transport.config.Clock, delay)
 	defer stop()
 	select {
 	case <-passed:
@@ -167,7 +173,7 @@
 	}
 }
 
-// dial connects and runs the handshake.
+// dial connects to the peer and runs the handshake, within HandshakeTimeout.
 func (l *link) dial() (net.Conn, error) {
 	config := l.transport.config
 	ctx, cancel := context.WithTimeout(l.transport.context, config.HandshakeTimeout)
@@ -189,6 +195,8 @@
 	return conn, nil
 }
 
+// clientTLS returns the TLS configuration for dialing, with the peer's host as the
+// default server name.
 func (l *link) clientTLS() *tls.Config {
 	config := l.transport.config.TLS.Clone()
 	if config.ServerName == "" {
@@ -198,6 +206,7 @@
 	return config
 }
 
+// logFailure logs only the first of consecutive failures.
 func (l *link) logFailure(err error, failures int) {
 	if failures == 1 {
 		l.transport.config.Logger.Warn().Err(err).Str("peer", l.address).Msg("peer unreachable")
--- a/internal/peer/tcp/outbound.go
+++ b/internal/peer/tcp/outbound.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// stableAge is how long a connection must last for the next one to be tried
-// without a wait.
-const stableAge = time.Second
+// minStableDuration is how long a connection must last for the next one to be
+// attempted without backoff.
+const minStableDuration = time.Second
 
 var errConnectionLost = errors.New("connection lost")
 
-// serve uses a connection until it breaks, is idle or the transport closes. It
-// returns the number of failures in a row.
+// serve uses a connection until it is lost or idle or the transport is closed. It
+// returns the new number of consecutive failures.
 func (l *link) serve(conn net.Conn, first outgoing, failures int) int {
 	clock := l.transport.config.Clock
 	connected := clock.Now()
@@ -27,18 +27,19 @@
 	session.close()
 	<-read
 	l.failSent(errConnectionLost)
-	if clock.Now().Sub(connected) >= stableAge {
+	if clock.Now().Sub(connected) >= minStableDuration {
 		return 0
 	}
 	return failures + 1
 }
 
-// writeLoop sends from the queue until the connection ends.
+// writeLoop sends queued messages until the connection is to be closed: after a
+// write error, a lost connection, IdleTimeout or Close.
 func (l *link) writeLoop(session *session, first outgoing, broken <-chan struct{}) {
 	if !l.writeBatch(session, first) {
 		return
 	}
-	idle, stop := wait(l.transport.config.Clock, l.transport.config.IdleTimeout)
+	idle, stop := after(l.transport.config.Clock, l.transport.config.IdleTimeout)
 	defer func() { stop() }()
 	used := false
 	for {
@@ -57,12 +58,13 @@
 				return
 			}
 			used = false
-			idle, stop = wait(l.transport.config.Clock, l.transport.config.IdleTimeout)
+			idle, stop = after(l.transport.config.Clock, l.transport.config.IdleTimeout)
 		}
 	}
 }
 
-// writeBatch sends an item and those that wait behind it in one flush.
+// writeBatch sends an item and those queued behind it with one flush, and reports
+// whether all were written.
 func (l *link) writeBatch(session *session, item outgoing) bool {
 	for {
 		if !l.write(session, item) {
@@ -76,8 +78,9 @@
 	}
 }
 
-// write sends an item unless its call has ended. An item that can't be encoded
-// ends the connection, because the gob stream has lost its state.
+// write sends an item unless its call has already ended, and reports whether the
+// connection can still be used. After an item that can't be encoded it can't,
+// because the state of the gob stream is undefined.
 func (l *link) write(session *session, item outgoing) bool {
 	if item.call != nil && !l.pending.markSent(item.envelope.ID) {
 		return true
@@ -92,7 +95,7 @@
 	return false
 }
 
-// receive takes a reply to its call. A reply to a call that has ended is
+// receive passes a reply to its call. A reply to a call that has ended is
 // ignored.
 func (l *link) receive(message envelope) error {
 	if message.Kind != envelopeReply {
--- a/internal/peer/tcp/pending.go
+++ b/internal/peer/tcp/pending.go
@@ -11,16 +11,16 @@
 
 var (
 	errClosed       = errors.New("transport closed")
-	errLinkEnded    = errors.New("link ended")
-	errQueueFull    = errors.New("queue to peer is full")
-	errTooManyCalls = errors.New("too many calls wait for the peer")
-	errTimeout      = errors.New("no reply in time")
+	errLinkClosed   = errors.New("link closed")
+	errQueueFull    = errors.New("queue for the peer is full")
+	errTooManyCalls = errors.New("too many pending calls to the peer")
+	errTimeout      = errors.New("no reply within the timeout")
 )
 
-// outgoing is a message that waits to be sent.
+// outgoing is a message queued to be sent.
 type outgoing struct {
 	envelope envelope
-	// call waits for the reply; nil for other messages.
+	// call that waits for the reply; nil for one-way messages and replies.
 	call *pendingCall
 }
 
@@ -29,18 +29,20 @@
 	done     func(peer.Message, error)
 	timer    clock.Timer
 	finished atomic.Bool
-	// sent on the link's current connection; guarded by the table.
+	// sent is set when the call is sent on the link's current connection. It is
+	// guarded by the mutex of the pendingTable.
 	sent bool
 }
 
-// finish ends the call once; later ends change nothing.
+// finish calls done with the result; only the first call has an effect.
 func (c *pendingCall) finish(message peer.Message, err error) {
 	if c.finished.CompareAndSwap(false, true) {
 		c.done(message, err)
 	}
 }
 
-// pendingTable holds one link's calls by their ids, which are never reused.
+// pendingTable holds the pending calls of one link by their IDs. IDs are never
+// reused.
 type pendingTable struct {
 	mutex sync.Mutex
 	last  uint64
@@ -51,7 +53,7 @@
 	return &pendingTable{calls: map[uint64]*pendingCall{}}
 }
 
-// add returns the call's new id, unless there are too many calls.
+// add adds a call and returns its new ID, or false if the limit is reached.
 func (p *pendingTable) add(call *pendingCall, limit int) (uint64, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -63,6 +65,7 @@
 	return p.last, true
 }
 
+// take removes and returns a call, or returns false if it is no longer pending.
 func (p *pendingTable) take(id uint64) (*pendingCall, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -71,7 +74,8 @@
 	return call, known
 }
 
-// takeSentCall takes a call that was sent; others can have no reply.
+// takeSentCall removes and returns a call that was sent; calls that were not sent
+// can't have a reply.
 func (p *pendingTable) takeSentCall(id uint64) (*pendingCall, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -83,7 +87,7 @@
 	return call, true
 }
 
-// markSent reports whether the call still waits.
+// markSent marks a call as sent and reports whether it is still pending.
 func (p *pendingTable) markSent(id uint64) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -94,7 +98,7 @@
 	return known
 }
 
-// takeSent takes the calls that were sent.
+// takeSent removes and returns the calls that were sent.
 func (p *pendingTable) takeSent() []*pendingCall {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/peer/tcp/session.go
+++ b/internal/peer/tcp/session.go
@@ -9,11 +9,11 @@
 	"github.com/hatchplank/hatchplank/internal/result"
 )
 
-// connectionBufferBytes is the size of each connection's two buffers.
+// connectionBufferBytes is the size of each of the two buffers of a connection.
 const connectionBufferBytes = 4 << 10
 
-// session is one connection after its handshake. One goroutine writes, another
-// reads.
+// session is a connection after its handshake. One goroutine writes to it and
+// another reads from it.
 type session struct {
 	transport *Transport
 	conn      net.Conn
@@ -56,12 +56,12 @@
 }
 
 func (s *session) setWriteDeadline() {
-	// An error shows at the write that follows.
+	// An error is returned by the write that follows.
 	_ = s.conn.SetWriteDeadline(time.Now().Add(s.transport.config.WriteTimeout))
 }
 
-// readLoop gives each message to receive until the connection ends. A bad
-// message ends it.
+// readLoop passes each message to receive until the connection is closed. It
+// closes the connection after an invalid message.
 func (s *session) readLoop(receive func(envelope) error) {
 	defer s.close()
 	for {
@@ -72,7 +72,7 @@
 			err = receive(message)
 		}
 		if errors.Is(err, errBadFrame) {
-			s.transport.complain(s.conn, err)
+			s.transport.reportViolation(s.conn, err)
 		}
 		if err != nil {
 			return
@@ -80,10 +80,11 @@
 	}
 }
 
-// complain counts and logs a peer that does not keep to the protocol.
-func (t *Transport) complain(conn net.Conn, err error) {
-	t.statistics.badPeers.Add(1)
-	if !t.complaints.Allow() {
+// reportViolation counts and logs a violation of the protocol by a peer. The rate
+// of log lines is limited.
+func (t *Transport) reportViolation(conn net.Conn, err error) {
+	t.statistics.protocolViolations.Add(1)
+	if !t.violationLogLimiter.Allow() {
 		return
 	}
 	t.config.Logger.Warn().Err(err).Int("code", int(result.BadPeerMessage)).
--- a/internal/peer/tcp/statistics.go
+++ b/internal/peer/tcp/statistics.go
@@ -2,27 +2,30 @@
 
 import "sync/atomic"
 
-// Statistics count what a transport did since it was made.
+// Statistics holds the counters of a transport since its creation.
 type Statistics struct {
 	MessagesSent, MessagesReceived uint64
-	// BytesSent and BytesReceived count frames, without TCP, TLS and handshakes.
+	// BytesSent and BytesReceived count the bytes of frames, without the overhead
+	// of TCP, TLS and handshakes.
 	BytesSent, BytesReceived uint64
-	// Dropped messages were never sent: the peer was unreachable, or its queue
-	// full.
+	// Dropped counts messages that were not sent because the peer was unreachable,
+	// its queue was full or the message exceeded MaxFrameBytes.
 	Dropped uint64
-	// ProtocolViolations are connections closed for breaking the protocol.
+	// ProtocolViolations counts connections closed because the peer violated the
+	// protocol.
 	ProtocolViolations uint64
-	// RejectedConnections exceeded a limit.
+	// RejectedConnections counts connections that exceeded MaxConnections or
+	// MaxHandshakes.
 	RejectedConnections uint64
 }
 
 type statistics struct {
-	messagesSent, messagesReceived        atomic.Uint64
-	bytesSent, bytesReceived              atomic.Uint64
-	dropped, badPeers, refusedConnections atomic.Uint64
+	messagesSent, messagesReceived                   atomic.Uint64
+	bytesSent, bytesReceived                         atomic.Uint64
+	dropped, protocolViolations, rejectedConnections atomic.Uint64
 }
 
-// Statistics returns the counts so far.
+// Statistics returns the current counters.
 func (t *Transport) Statistics() Statistics {
 	return Statistics{
 		MessagesSent:        t.statistics.messagesSent.Load(),
@@ -30,7 +33,7 @@
 		BytesSent:           t.statistics.bytesSent.Load(),
 		BytesReceived:       t.statistics.bytesReceived.Load(),
 		Dropped:             t.statistics.dropped.Load(),
-		ProtocolViolations:  t.statistics.badPeers.Load(),
-		RejectedConnections: t.statistics.refusedConnections.Load(),
+		ProtocolViolations:  t.statistics.protocolViolations.Load(),
+		RejectedConnections: t.statistics.rejectedConnections.Load(),
 	}
 }
--- a/internal/peer/tcp/tcp_suite_test.go
+++ b/internal/peer/tcp/tcp_suite_test.go
@@ -18,20 +18,20 @@
 	RunSpecs(t, "Peer transport over TCP")
 }
 
-// question and answer are the messages of the tests.
-type question struct {
+// testRequest and testReply are the messages of the tests.
+type testRequest struct {
 	Number  int
 	Padding []byte
 }
 
-type answer struct{ Number int }
+type testReply struct{ Number int }
 
-// unregistered is not known to gob.
+// unregistered is a message type that is not registered with gob.
 type unregistered struct{ Number int }
 
 func init() {
-	gob.Register(question{})
-	gob.Register(answer{})
+	gob.Register(testRequest{})
+	gob.Register(testReply{})
 }
 
 const (
@@ -50,18 +50,19 @@
 }
 
 func echo(_ string, message peer.Message, reply func(peer.Message, error)) {
-	reply(answer{Number: message.(question).Number}, nil)
+	reply(testReply{Number: message.(testRequest).Number}, nil)
 }
 
-// ended is the end of one call.
-type ended struct {
+// callResult is the result of one call.
+type callResult struct {
 	message peer.Message
 	err     error
 }
 
-// ask calls and returns the channel of the end.
-func ask(t *Transport, address string, message peer.Message, timeout time.Duration) <-chan ended {
-	ends := make(chan ended, 2)
-	t.Call(address, message, timeout, func(message peer.Message, err error) { ends <- ended{message, err} })
+// startCall starts a call and returns the channel that receives its result. The
+// channel has space for a second result, which would be a fault.
+func startCall(t *Transport, address string, message peer.Message, timeout time.Duration) <-chan callResult {
+	ends := make(chan callResult, 2)
+	t.Call(address, message, timeout, func(message peer.Message, err error) { ends <- callResult{message, err} })
 	return ends
 }
--- a/internal/peer/tcp/transport.go
+++ b/internal/peer/tcp/transport.go
@@ -15,8 +15,8 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// Transport is a peer.Transport over TCP. A message handed to Call, Send or
-// reply must not be changed any more.
+// Transport is a peer.Transport over TCP. A message must not be modified after it
+// was passed to Call, Send or reply.
 type Transport struct {
 	config     Config
 	listener   net.Listener
@@ -24,11 +24,11 @@
 	statistics statistics
 	// encodable caches the result of checkEncodable by type.
 	encodable sync.Map
-	// complaints limits the log lines about bad peers.
-	complaints *rate.Limiter
-	handshakes chan struct{}
+	// violationLogLimiter limits the log lines about protocol violations.
+	violationLogLimiter *rate.Limiter
+	handshakes          chan struct{}
 
-	// context ends with Close.
+	// context is cancelled by Close.
 	context context.Context
 	cancel  context.CancelFunc
 	running sync.WaitGroup
@@ -42,10 +42,12 @@
 
 var _ peer.Transport = (*Transport)(nil)
 
-// The log lines about bad peers that are written in a second; all are counted.
-const complaintsPerSecond = 5
+// maxViolationLogsPerSecond limits the log lines about protocol violations;
+// statistics count all of them.
+const maxViolationLogsPerSecond = 5
 
-// New opens the listener if none is given. The caller must Close the transport.
+// New returns a transport and opens its listener if none is given. The caller
+// must Close the transport.
 func New(config Config) (*Transport, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -60,14 +62,14 @@
 		listener = opened
 	}
 	transport := &Transport{
-		config:     config,
-		listener:   listener,
-		advertised: config.AdvertisedAddress,
-		complaints: rate.NewLimiter(complaintsPerSecond, complaintsPerSecond),
-		handshakes: make(chan struct{}, config.MaxHandshakes),
-		handlers:   map[reflect.Type]peer.Handler{},
-		links:      map[string]*link{},
-		accepted:   map[net.Conn]struct{}{},
+		config:              config,
+		listener:            listener,
+		advertised:          config.AdvertisedAddress,
+		violationLogLimiter: rate.NewLimiter(maxViolationLogsPerSecond, maxViolationLogsPerSecond),
+		handshakes:          make(chan struct{}, config.MaxHandshakes),
+		handlers:            map[reflect.Type]peer.Handler{},
+		links:               map[string]*link{},
+		accepted:            map[net.Conn]struct{}{},
 	}
 	if transport.advertised == "" {
 		transport.advertised = listener.Addr().String()
@@ -76,14 +78,14 @@
 	return transport, nil
 }
 
-// Address is where peers reach this node.
+// Address returns the address at which peers reach this node.
 func (t *Transport) Address() string { return t.advertised }
 
-// Start begins to accept peers.
-func (t *Transport) Start() { t.goUnlessClosed(t.acceptLoop) }
+// Start starts accepting connections of peers.
+func (t *Transport) Start() { t.goIfOpen(t.acceptLoop) }
 
-// Close ends all connections, fails the calls that wait, and waits for both.
-// It must not be called from a handler or a callback.
+// Close closes all connections, fails the pending calls and waits until both are
+// done. It must not be called from a handler or a callback.
 func (t *Transport) Close() {
 	t.mutex.Lock()
 	t.closed = true
@@ -96,8 +98,9 @@
 	t.running.Wait()
 }
 
-// goUnlessClosed runs function on a goroutine that Close waits for.
-func (t *Transport) goUnlessClosed(function func()) bool {
+// goIfOpen runs function on a goroutine that Close waits for. It returns false if
+// the transport is closed.
+func (t *Transport) goIfOpen(function func()) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.closed {
@@ -144,7 +147,7 @@
 	}
 }
 
-// enqueue gives an item to the link of its address. A link that has just ended
+// enqueue queues an item on the link to the address. A link that has just closed
 // is replaced.
 func (t *Transport) enqueue(address string, item outgoing, timeout time.Duration) error {
 	for {
@@ -152,13 +155,14 @@
 		if err != nil {
 			return err
 		}
-		if err = link.enqueue(item, timeout); !errors.Is(err, errLinkEnded) {
+		if err = link.enqueue(item, timeout); !errors.Is(err, errLinkClosed) {
 			return err
 		}
 		t.removeLink(link)
 	}
 }
 
+// linkTo returns the link to an address, and creates it if there is none.
 func (t *Transport) linkTo(address string) (*link, error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -175,16 +179,18 @@
 	return created, nil
 }
 
-func (t *Transport) removeLink(ended *link) {
+// removeLink removes a closed link unless it has been replaced.
+func (t *Transport) removeLink(closed *link) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.links[ended.address] == ended {
-		delete(t.links, ended.address)
+	if t.links[closed.address] == closed {
+		delete(t.links, closed.address)
 	}
 }
 
-// checkMessage finds messages that can't be encoded before they are queued,
-// since a failure to encode ends the connection.
+// checkMessage returns an error for a message whose type can't be encoded. It is
+// called before a message is queued, since a failure to encode closes the
+// connection.
 func (t *Transport) checkMessage(message peer.Message) error {
 	if message == nil {
 		return eris.New("message is nil")
--- a/internal/peer/tcp/transport_test.go
+++ b/internal/peer/tcp/transport_test.go
@@ -14,19 +14,19 @@
 	"github.com/hatchplank/hatchplank/internal/peer"
 )
 
-// startTransport starts a transport that is closed after the test.
+// startTransport starts a transport that is closed at the end of the test.
 func startTransport(config Config, handler peer.Handler) *Transport {
 	transport, err := New(config)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(transport.Close)
 	if handler != nil {
-		transport.Handle(question{}, handler)
+		transport.Handle(testRequest{}, handler)
 	}
 	transport.Start()
 	return transport
 }
 
-// selfSigned returns a TLS configuration whose certificate it trusts itself.
+// selfSigned returns a TLS configuration that trusts its own certificate.
 func selfSigned() *tls.Config {
 	server := httptest.NewTLSServer(http.NotFoundHandler())
 	defer server.Close()
@@ -35,7 +35,7 @@
 }
 
 var _ = Describe("Transport", func() {
-	DescribeTable("answers calls and tells who asks",
+	DescribeTable("answers calls and passes the caller's address to the handler",
 		func(secure bool) {
 			config := testConfig()
 			if secure {
@@ -47,100 +47,100 @@
 				echo(sender, message, reply)
 			})
 			client := startTransport(config, nil)
-			Eventually(ask(client, server.Address(), question{Number: 7}, longTimeout), longTimeout).
-				Should(Receive(Equal(ended{message: answer{Number: 7}})))
+			Eventually(startCall(client, server.Address(), testRequest{Number: 7}, longTimeout), longTimeout).
+				Should(Receive(Equal(callResult{message: testReply{Number: 7}})))
 			Expect(from).To(Receive(Equal(client.Address())))
 		},
-		Entry("in clear", false),
+		Entry("without TLS", false),
 		Entry("over TLS", true),
 	)
 
-	It("gives each call its own reply when replies come late and in reverse", func() {
+	It("matches each reply to its call when replies are late and in reverse order", func() {
 		const calls = 500
-		type waiting struct {
+		type pendingReply struct {
 			number int
 			reply  func(peer.Message, error)
 		}
-		asked := make(chan waiting, calls)
+		asked := make(chan pendingReply, calls)
 		server := startTransport(testConfig(), func(_ string, message peer.Message, reply func(peer.Message, error)) {
-			asked <- waiting{message.(question).Number, reply}
+			asked <- pendingReply{message.(testRequest).Number, reply}
 		})
 		client := startTransport(testConfig(), nil)
-		var ends []<-chan ended
+		var ends []<-chan callResult
 		for number := range calls {
-			ends = append(ends, ask(client, server.Address(), question{Number: number}, longTimeout))
+			ends = append(ends, startCall(client, server.Address(), testRequest{Number: number}, longTimeout))
 		}
-		var all []waiting
+		var pending []pendingReply
 		for range calls {
-			all = append(all, <-asked)
+			pending = append(pending, <-asked)
 		}
-		for i := len(all) - 1; i >= 0; i-- {
+		for i := len(pending) - 1; i >= 0; i-- {
 			go func() {
-				all[i].reply(answer{Number: all[i].number}, nil)
-				all[i].reply(answer{Number: -1}, nil)
+				pending[i].reply(testReply{Number: pending[i].number}, nil)
+				pending[i].reply(testReply{Number: -1}, nil)
 			}()
 		}
 		for number, end := range ends {
-			Eventually(end, longTimeout).Should(Receive(Equal(ended{message: answer{Number: number}})))
+			Eventually(end, longTimeout).Should(Receive(Equal(callResult{message: testReply{Number: number}})))
 			Expect(end).NotTo(Receive())
 		}
 	})
 
-	DescribeTable("ends a call that has no answer",
+	DescribeTable("fails a call that gets no reply",
 		func(handler peer.Handler, message peer.Message, timeout time.Duration, expected any) {
 			server := startTransport(testConfig(), handler)
 			client := startTransport(testConfig(), nil)
-			var end ended
-			Eventually(ask(client, server.Address(), message, timeout), longTimeout).Should(Receive(&end))
+			var end callResult
+			Eventually(startCall(client, server.Address(), message, timeout), longTimeout).Should(Receive(&end))
 			Expect(end.err).To(MatchError(expected))
 		},
-		Entry("no handler", nil, question{}, longTimeout, errNoHandler.Error()),
+		Entry("no handler", nil, testRequest{}, longTimeout, errNoHandler.Error()),
 		Entry("handler fails", peer.Handler(func(_ string, _ peer.Message, reply func(peer.Message, error)) {
 			reply(nil, errors.New("not today"))
-		}), question{}, longTimeout, "not today"),
+		}), testRequest{}, longTimeout, "not today"),
 		Entry("handler never replies", peer.Handler(func(string, peer.Message, func(peer.Message, error)) {}),
-			question{}, 20*time.Millisecond, peer.ErrUnreachable),
-		Entry("message too large", peer.Handler(echo), question{Padding: make([]byte, DefaultMaxFrameBytes)},
+			testRequest{}, 20*time.Millisecond, peer.ErrUnreachable),
+		Entry("message too large", peer.Handler(echo), testRequest{Padding: make([]byte, DefaultMaxFrameBytes)},
 			longTimeout, errMessageTooLarge),
 		Entry("reply that can't be encoded", peer.Handler(func(_ string, _ peer.Message, reply func(peer.Message, error)) {
 			reply(unregistered{}, nil)
-		}), question{}, longTimeout, ContainSubstring("can't be encoded")),
+		}), testRequest{}, longTimeout, ContainSubstring("can't be encoded")),
 		Entry("message that can't be encoded", peer.Handler(echo), unregistered{}, longTimeout, ContainSubstring("can't be encoded")),
 	)
 
-	It("goes on after a message that was too large", func() {
+	It("can still be used after a message that was too large", func() {
 		server := startTransport(testConfig(), echo)
 		client := startTransport(testConfig(), nil)
-		var end ended
-		tooLarge := question{Padding: make([]byte, DefaultMaxFrameBytes)}
-		Eventually(ask(client, server.Address(), tooLarge, longTimeout), longTimeout).Should(Receive(&end))
-		Eventually(ask(client, server.Address(), question{Number: 1}, longTimeout), longTimeout).
-			Should(Receive(Equal(ended{message: answer{Number: 1}})))
+		var end callResult
+		tooLarge := testRequest{Padding: make([]byte, DefaultMaxFrameBytes)}
+		Eventually(startCall(client, server.Address(), tooLarge, longTimeout), longTimeout).Should(Receive(&end))
+		Eventually(startCall(client, server.Address(), testRequest{Number: 1}, longTimeout), longTimeout).
+			Should(Receive(Equal(callResult{message: testReply{Number: 1}})))
 	})
 
 	It("delivers one-way messages in order", func() {
 		received := make(chan int, 100)
 		server := startTransport(testConfig(), func(_ string, message peer.Message, reply func(peer.Message, error)) {
 			reply(nil, nil)
-			received <- message.(question).Number
+			received <- message.(testRequest).Number
 		})
 		client := startTransport(testConfig(), nil)
 		for number := range 100 {
-			client.Send(server.Address(), question{Number: number})
+			client.Send(server.Address(), testRequest{Number: number})
 		}
 		for number := range 100 {
 			Eventually(received, longTimeout).Should(Receive(Equal(number)))
 		}
 	})
 
-	It("fails calls whose connection is lost, and connects again", func() {
+	It("fails calls whose connection is lost, and reconnects", func() {
 		asked := make(chan struct{}, 1)
 		first := startTransport(testConfig(), func(string, peer.Message, func(peer.Message, error)) { asked <- struct{}{} })
 		client := startTransport(testConfig(), nil)
-		end := ask(client, first.Address(), question{}, time.Hour)
+		end := startCall(client, first.Address(), testRequest{}, time.Hour)
 		Eventually(asked, longTimeout).Should(Receive())
 		first.Close()
-		var lost ended
+		var lost callResult
 		Eventually(end, longTimeout).Should(Receive(&lost))
 		Expect(lost.err).To(MatchError(peer.ErrUnreachable))
 
@@ -148,29 +148,29 @@
 		config.Address = first.Address()
 		startTransport(config, echo)
 		Eventually(func() error {
-			var again ended
-			Eventually(ask(client, first.Address(), question{Number: 1}, longTimeout), longTimeout).Should(Receive(&again))
+			var again callResult
+			Eventually(startCall(client, first.Address(), testRequest{Number: 1}, longTimeout), longTimeout).Should(Receive(&again))
 			return again.err
 		}, longTimeout).Should(Succeed())
 	})
 
-	It("fails at once when nobody listens", func() {
+	It("fails at once when the connection is refused", func() {
 		client := startTransport(testConfig(), nil)
-		gone := startTransport(testConfig(), nil)
-		gone.Close()
-		var end ended
-		Eventually(ask(client, gone.Address(), question{}, time.Hour), longTimeout).Should(Receive(&end))
+		closed := startTransport(testConfig(), nil)
+		closed.Close()
+		var end callResult
+		Eventually(startCall(client, closed.Address(), testRequest{}, time.Hour), longTimeout).Should(Receive(&end))
 		Expect(end.err).To(MatchError(peer.ErrUnreachable))
 	})
 
-	It("bounds the queue and the calls to a peer that does not answer", func() {
+	It("limits the queue and the pending calls to a peer that does not reply", func() {
 		config := testConfig()
 		config.QueueLength, config.MaxPendingCalls = 4, 8
 		server := startTransport(testConfig(), func(string, peer.Message, func(peer.Message, error)) {})
 		client := startTransport(config, nil)
 		ends := make(chan error, 100)
 		for range 100 {
-			client.Call(server.Address(), question{}, time.Hour, func(_ peer.Message, err error) { ends <- err })
+			client.Call(server.Address(), testRequest{}, time.Hour, func(_ peer.Message, err error) { ends <- err })
 		}
 		for range 100 - config.MaxPendingCalls {
 			Eventually(ends, longTimeout).Should(Receive(MatchError(peer.ErrUnreachable)))
@@ -182,19 +182,19 @@
 		Consistently(ends, 0).ShouldNot(Receive())
 	})
 
-	It("ends an idle link and makes a new one when needed", func() {
+	It("closes an idle link and opens a new one when needed", func() {
 		config := testConfig()
 		config.IdleTimeout = time.Millisecond
 		server := startTransport(testConfig(), echo)
 		client := startTransport(config, nil)
 		for number := range 3 {
-			Eventually(ask(client, server.Address(), question{Number: number}, longTimeout), longTimeout).
-				Should(Receive(Equal(ended{message: answer{Number: number}})))
+			Eventually(startCall(client, server.Address(), testRequest{Number: number}, longTimeout), longTimeout).
+				Should(Receive(Equal(callResult{message: testReply{Number: number}})))
 			Eventually(func() int { return linkCount(client) }, longTimeout).Should(BeZero())
 		}
 	})
 
-	DescribeTable("refuses settings that can't work",
+	DescribeTable("rejects an invalid configuration",
 		func(change func(*Config), part string) {
 			config := testConfig()
 			change(&config)
