--- a/internal/window/window.go
+++ b/internal/window/window.go
@@ -1,47 +1,51 @@
-// Package window sums amounts over the last stretch of time.
+// Package window sums amounts over a sliding time window.
 package window
 
 import "time"
 
-// slots divide a window; the oldest one leaves as a whole.
-const slots = 32
+// slotCount is the number of slots into which a window is divided. A slot expires
+// as a whole.
+const slotCount = 32
 
-// Sum of what was added within the last window, and up to a slot before it. Slots
-// are counted from its beginning on the steady clock, since the time of day may jump.
+// Sum is the sum of the amounts added within the last window, and within up to one
+// slot before it. Slots are counted from the start on the monotonic clock, since the
+// wall clock may jump. A Sum is not safe for concurrent use.
 type Sum struct {
-	begin   time.Time
-	slot    time.Duration
-	amounts [slots + 1]float64
-	newest  int64
+	start      time.Time
+	slotLength time.Duration
+	amounts    [slotCount + 1]float64
+	newest     int64
 }
 
-// NewSum returns an empty sum that begins at the time.
+// NewSum returns an empty sum over windows of the given length. Begin is the time
+// from which slots are counted.
 func NewSum(length time.Duration, begin time.Time) Sum {
-	return Sum{begin: begin, slot: max(length/slots, time.Millisecond)}
+	return Sum{start: begin, slotLength: max(length/slotCount, time.Millisecond)}
 }
 
+// advance clears the slots between the newest one and the slot of now.
 func (s *Sum) advance(now time.Time) {
-	current := max(int64(now.Sub(s.begin)/s.slot), 0)
+	current := max(int64(now.Sub(s.start)/s.slotLength), 0)
 	if current-s.newest > int64(len(s.amounts)) {
-		s.amounts = [slots + 1]float64{}
+		s.amounts = [slotCount + 1]float64{}
 		s.newest = current
 		return
 	}
 	for s.newest < current {
 		s.newest++
-		*s.at(s.newest) = 0
+		*s.amountAt(s.newest) = 0
 	}
 }
 
-func (s *Sum) at(slot int64) *float64 { return &s.amounts[slot%int64(len(s.amounts))] }
+func (s *Sum) amountAt(slot int64) *float64 { return &s.amounts[slot%int64(len(s.amounts))] }
 
-// Add adds an amount, which may be below zero.
+// Add adds an amount, which may be negative.
 func (s *Sum) Add(amount float64, now time.Time) {
 	s.advance(now)
-	*s.at(s.newest) += amount
+	*s.amountAt(s.newest) += amount
 }
 
-// Total of the window.
+// Total returns the sum of the amounts in the window.
 func (s *Sum) Total(now time.Time) float64 {
 	s.advance(now)
 	total := 0.0
@@ -51,16 +55,16 @@
 	return total
 }
 
-// TimeUntilExpired is the time until so much has left the window, if nothing is added; the
-// whole window if there is less.
+// TimeUntilExpired returns the time until the given amount has expired from the
+// window if nothing is added, or the window's length if its total is less.
 func (s *Sum) TimeUntilExpired(amount float64, now time.Time) time.Duration {
 	s.advance(now)
-	for oldest := max(s.newest-slots, 0); oldest <= s.newest; oldest++ {
-		amount -= *s.at(oldest)
+	for oldest := max(s.newest-slotCount, 0); oldest <= s.newest; oldest++ {
+		amount -= *s.amountAt(oldest)
 		if amount <= 0 {
-			gone := s.begin.Add(time.Duration(oldest+slots+1) * s.slot)
-			return max(gone.Sub(now), 0)
+			expiry := s.start.Add(time.Duration(oldest+slotCount+1) * s.slotLength)
+			return max(expiry.Sub(now), 0)
 		}
 	}
-	return slots * s.slot
+	return slotCount * s.slotLength
 }
--- a/internal/window/window_test.go
+++ b/internal/window/window_test.go
@@ -13,9 +13,9 @@
 
 const length = 8 * time.Second
 
-// TestSumCoversTheWindow: what was added within the window counts, and what is older
-// than the window and a slot does not.
-func TestSumCoversTheWindow(t *testing.T) {
+// TestSumCoversWindow checks that amounts added within the window are counted, and
+// that amounts older than the window and two slots are not.
+func TestSumCoversWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		sum := window.NewSum(length, now)
@@ -25,24 +25,25 @@
 			amount := float64(rapid.IntRange(0, 100).Draw(t, "amount"))
 			sum.Add(amount, now)
 			added[now] += amount
-			least, most := 0.0, 0.0
+			lower, upper := 0.0, 0.0
 			for at, amount := range added {
 				if now.Sub(at) < length {
-					least += amount
+					lower += amount
 				}
 				if now.Sub(at) < length+2*length/32 {
-					most += amount
+					upper += amount
 				}
 			}
-			if total := sum.Total(now); total < least || total > most {
-				t.Fatalf("total %v, not from %v to %v", total, least, most)
+			if total := sum.Total(now); total < lower || total > upper {
+				t.Fatalf("total %v, want between %v and %v", total, lower, upper)
 			}
 		}
 	})
 }
 
-// TestLeavesInIsTrue: so much has left after that time, and not a slot before.
-func TestLeavesInIsTrue(t *testing.T) {
+// TestTimeUntilExpired checks that the amount has expired after the returned time,
+// and not one slot earlier.
+func TestTimeUntilExpired(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	sum := window.NewSum(length, now)
@@ -50,10 +51,10 @@
 		now = now.Add(500 * time.Millisecond)
 		sum.Add(10, now)
 	}
-	leaves := sum.TimeUntilExpired(25, now)
+	wait := sum.TimeUntilExpired(25, now)
 	later := sum
-	g.Expect(later.Total(now.Add(leaves))).To(BeNumerically("<=", 75))
+	g.Expect(later.Total(now.Add(wait))).To(BeNumerically("<=", 75))
 	later = sum
-	g.Expect(later.Total(now.Add(leaves - length/32))).To(BeNumerically(">", 75))
+	g.Expect(later.Total(now.Add(wait - length/32))).To(BeNumerically(">", 75))
 	g.Expect(sum.TimeUntilExpired(1000, now)).To(Equal(length))
 }
