--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,42 +1,43 @@
-// Package clock abstracts time so that the same decision code runs on real
-// time in a node and on virtual time in the emulator.
+// Package clock abstracts time, so that the same code runs on real time in a node
+// and on virtual time in the emulator.
 package clock
 
 import "time"
 
-// Clock tells the time and schedules functions.
+// Clock returns the current time and schedules functions.
 //
-// Contract: the function given to AfterFunc is never called before AfterFunc
-// returned, and never while AfterFunc's caller is still on the stack. A real
-// clock calls it on its own goroutine; a virtual clock calls it from its event
-// loop.
+// Contract: the function passed to AfterFunc is never called before AfterFunc has
+// returned, and never from within the call stack of AfterFunc's caller. A real
+// clock calls it on a goroutine of its own; a virtual clock calls it from its
+// event loop.
 type Clock interface {
 	// Now returns the current time.
 	Now() time.Time
-	// AfterFunc calls function once after delay, unless stopped before.
+	// AfterFunc calls function once after delay, unless the timer is stopped
+	// before.
 	AfterFunc(delay time.Duration, function func()) Timer
 }
 
-// Timer is a pending call made by Clock.AfterFunc.
+// Timer is a pending function call scheduled by Clock.AfterFunc.
 type Timer interface {
 	// Stop cancels the call and reports whether it was still pending.
 	Stop() bool
 }
 
-// System is the machine's clock.
+// System is the system clock.
 type System struct{}
 
-// Now returns the machine's time.
+// Now returns the system time.
 func (System) Now() time.Time { return time.Now() }
 
-// AfterFunc schedules function on the Go runtime's timer.
+// AfterFunc schedules function on a timer of the Go runtime.
 func (System) AfterFunc(delay time.Duration, function func()) Timer {
 	return time.AfterFunc(delay, function)
 }
 
-// Repeat calls function every period until the returned function is called.
-// The next call is scheduled only after the one before returned, so calls
-// never overlap.
+// Repeat calls function every period, for the first time after one period, until
+// the returned function is called. The next call is scheduled only after the
+// previous one has returned, so calls never overlap.
 func Repeat(c Clock, period time.Duration, function func()) (stop func()) {
 	repeater := &repeater{clock: c, period: period, function: function}
 	repeater.schedule()
--- a/internal/clock/sleep.go
+++ b/internal/clock/sleep.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// Sleep waits for the period on the machine's clock, or returns early when ctx
-// ends.
+// Sleep waits for the period on the system clock, or returns early when ctx ends.
 func Sleep(ctx context.Context, period time.Duration) {
 	timer := time.NewTimer(period)
 	defer timer.Stop()
