--- a/internal/machinelist/follower.go
+++ b/internal/machinelist/follower.go
@@ -1,5 +1,5 @@
-// Package machinelist keeps the newest reading of the platform's machine list
-// on a node and tells the other parts of the node when it changes.
+// Package machinelist polls the platform's machine list, caches the newest listing
+// on a node and notifies the node's other components of changes.
 package machinelist
 
 import (
@@ -12,19 +12,19 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// Config is what a Follower needs.
+// Config configures a Follower.
 type Config struct {
 	Clock   clock.Clock
 	Service outside.MachineListService
-	// Period between readings.
+	// Period between reads.
 	Period time.Duration
-	// Timeout of one reading.
+	// Timeout of one read.
 	Timeout time.Duration
 	Logger  zerolog.Logger
 }
 
-// Follower reads the machine list every period and keeps the newest reading
-// through outages.
+// Follower reads the machine list every period. During outages it keeps the newest
+// listing.
 type Follower struct {
 	config Config
 
@@ -32,48 +32,50 @@
 	listing  outside.MachineListing
 	byServer map[outside.ServerID]outside.Machine
 	readAt   time.Time
-	// readings under way.
-	readings    int
-	subscribers []func(outside.MachineListing)
+	// readsInFlight counts the reads that have not returned.
+	readsInFlight int
+	subscribers   []func(outside.MachineListing)
 
 	stopRepeat func()
 }
 
-// NewFollower returns a follower; Start makes it read.
+// NewFollower returns a follower; Start starts reading.
 func NewFollower(config Config) *Follower {
 	return &Follower{config: config, byServer: map[outside.ServerID]outside.Machine{}}
 }
 
-// Subscribe calls function after each change of the list. It is called before
-// Start.
+// Subscribe registers a function that is called after each change of the list. It
+// must be called before Start.
 func (f *Follower) Subscribe(function func(outside.MachineListing)) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.subscribers = append(f.subscribers, function)
 }
 
-// Start reads at once and then every period.
+// Start reads the list at once and then every period.
 func (f *Follower) Start() {
 	f.read()
 	f.stopRepeat = clock.Repeat(f.config.Clock, f.config.Period, f.read)
 }
 
-// Stop ends the readings.
+// Stop stops the periodic reads.
 func (f *Follower) Stop() {
 	if f.stopRepeat != nil {
 		f.stopRepeat()
 	}
 }
 
-// Listing returns the newest reading and when it was confirmed; a zero time
-// means that none was made yet. The listing must not be changed.
+// Listing returns the newest listing and the start time of the latest successful
+// read; a zero time means that no read has succeeded yet. The listing must not be
+// modified.
 func (f *Follower) Listing() (outside.MachineListing, time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.listing, f.readAt
 }
 
-// Machine returns a machine of the newest reading.
+// Machine returns a machine of the newest listing, or false if it has no such
+// server.
 func (f *Follower) Machine(server outside.ServerID) (outside.Machine, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -81,28 +83,31 @@
 	return machine, known
 }
 
-// maxReadings under way at once: a lost answer must not keep the next reading
-// back for its whole timeout.
-const maxReadings = 3
+// maxReadsInFlight limits concurrent reads. It is above 1 because a lost reply must
+// not delay the next read for the whole timeout.
+const maxReadsInFlight = 3
 
+// read starts a read unless maxReadsInFlight is reached.
 func (f *Follower) read() {
 	f.mutex.Lock()
-	if f.readings >= maxReadings {
+	if f.readsInFlight >= maxReadsInFlight {
 		f.mutex.Unlock()
 		return
 	}
-	f.readings++
+	f.readsInFlight++
 	since := f.listing.Version
 	f.mutex.Unlock()
 	startedAt := f.config.Clock.Now()
 	f.config.Service.List(since, f.config.Timeout, func(listing *outside.MachineListing, err error) {
-		f.received(listing, err, startedAt)
+		f.handleReply(listing, err, startedAt)
 	})
 }
 
-func (f *Follower) received(listing *outside.MachineListing, err error, startedAt time.Time) {
+// handleReply ends a read that was started at startedAt. A nil listing means that
+// the list has not changed.
+func (f *Follower) handleReply(listing *outside.MachineListing, err error, startedAt time.Time) {
 	f.mutex.Lock()
-	f.readings--
+	f.readsInFlight--
 	if err != nil {
 		f.mutex.Unlock()
 		f.config.Logger.Warn().Err(err).Str("reason", "machine list unavailable").Msg("machine list not read")
--- a/internal/machinelist/follower_test.go
+++ b/internal/machinelist/follower_test.go
@@ -18,18 +18,18 @@
 	RunSpecs(t, "Machine list")
 }
 
-// service answers the readings of a simulated machine list after delays; a
-// reading without a delay is lost.
+// service is a simulated machine list that answers each read after its delay; a
+// read without a delay times out.
 type service struct {
 	loop     *simulation.Loop
 	delays   []time.Duration
 	versions []uint64
-	asked    int
+	requests int
 }
 
 func (s *service) List(_ uint64, timeout time.Duration, done func(*outside.MachineListing, error)) {
-	reading := s.asked
-	s.asked++
+	reading := s.requests
+	s.requests++
 	if reading >= len(s.delays) || s.delays[reading] == 0 {
 		s.loop.AfterFunc(timeout, func() { done(nil, outside.ErrServerUnreachable) })
 		return
@@ -38,7 +38,7 @@
 	s.loop.AfterFunc(s.delays[reading], func() { done(listing, nil) })
 }
 
-func follow(delays []time.Duration, versions []uint64) (*simulation.Loop, *machinelist.Follower, *service) {
+func startFollower(delays []time.Duration, versions []uint64) (*simulation.Loop, *machinelist.Follower, *service) {
 	loop := simulation.NewLoop(1)
 	list := &service{loop: loop, delays: delays, versions: versions}
 	follower := machinelist.NewFollower(machinelist.Config{
@@ -49,15 +49,15 @@
 }
 
 var _ = Describe("Follower", func() {
-	It("reads again while an answer is missing", func() {
-		loop, follower, _ := follow([]time.Duration{0, time.Millisecond}, []uint64{0, 7})
+	It("reads again while a reply is missing", func() {
+		loop, follower, _ := startFollower([]time.Duration{0, time.Millisecond}, []uint64{0, 7})
 		loop.RunFor(1500 * time.Millisecond)
 		listing, _ := follower.Listing()
 		Expect(listing.Version).To(BeEquivalentTo(7))
 	})
 
-	It("keeps a newer listing when an older answer comes late", func() {
-		loop, follower, _ := follow([]time.Duration{3 * time.Second, time.Millisecond}, []uint64{6, 7})
+	It("keeps a newer listing when an older reply arrives late", func() {
+		loop, follower, _ := startFollower([]time.Duration{3 * time.Second, time.Millisecond}, []uint64{6, 7})
 		loop.RunFor(1500 * time.Millisecond)
 		_, readAt := follower.Listing()
 		loop.RunFor(2 * time.Second)
@@ -66,9 +66,9 @@
 		Expect(still).To(BeTemporally(">=", readAt))
 	})
 
-	It("has a bounded number of readings under way", func() {
-		loop, _, list := follow(nil, nil)
+	It("limits the number of reads in flight", func() {
+		loop, _, list := startFollower(nil, nil)
 		loop.RunFor(3900 * time.Millisecond)
-		Expect(list.asked).To(Equal(3))
+		Expect(list.requests).To(Equal(3))
 	})
 })
