--- a/internal/telemetry/decision.go
+++ b/internal/telemetry/decision.go
@@ -7,14 +7,14 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// Decision holds the fields that every logged decision carries; fields left
-// empty are not logged. Use it as logger.Info().EmbedObject(decision).
+// Decision holds the fields common to all logged decisions; empty fields are not
+// logged. Use it as logger.Info().EmbedObject(decision).
 type Decision struct {
 	Request  string
 	Revision table.Revision
 	Epoch    uint64
 	Model    string
-	// Slot is logged when HasSlot is set, because slot 0 exists.
+	// Slot is logged if HasSlot is set, because 0 is a valid slot.
 	Slot    outside.SlotID
 	HasSlot bool
 	Attempt outside.AttemptID
@@ -24,23 +24,23 @@
 
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
 func (d Decision) MarshalZerologObject(event *zerolog.Event) {
-	addWord(event, "request", d.Request)
+	addNonEmpty(event, "request", d.Request)
 	if d.Revision != 0 {
 		event.Int64("revision", int64(d.Revision))
 	}
 	if d.Epoch != 0 {
 		event.Uint64("epoch", d.Epoch)
 	}
-	addWord(event, "model", d.Model)
+	addNonEmpty(event, "model", d.Model)
 	if d.HasSlot {
 		event.Int("slot", int(d.Slot))
 	}
-	addWord(event, "attempt", string(d.Attempt))
-	addWord(event, "server", string(d.Server))
-	addWord(event, "reason", d.Reason)
+	addNonEmpty(event, "attempt", string(d.Attempt))
+	addNonEmpty(event, "server", string(d.Server))
+	addNonEmpty(event, "reason", d.Reason)
 }
 
-func addWord(event *zerolog.Event, name, value string) {
+func addNonEmpty(event *zerolog.Event, name, value string) {
 	if value != "" {
 		event.Str(name, value)
 	}
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -1,4 +1,4 @@
-// Package telemetry holds the node's metrics and the fields of its logged decisions.
+// Package telemetry defines the node's metrics and the fields of logged decisions.
 package telemetry
 
 import (
@@ -6,28 +6,30 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
-// Metrics of the node's HTTP interface. docs/operators/metrics.md is tested
-// against Descriptions.
+// Metrics holds the metrics of the node's HTTP interface. A test compares
+// docs/operators/metrics.md with Descriptions.
 type Metrics struct {
 	registry *prometheus.Registry
 
-	// Requests counts ended requests by interface path and result code's name.
+	// Requests counts completed requests by path and by name of the result code.
 	Requests *prometheus.CounterVec
-	// InFlight requests that have been accepted and not ended.
+	// InFlight is the number of requests accepted and not completed.
 	InFlight prometheus.Gauge
-	// FirstChunk is the time from acceptance to the first piece of an answer.
+	// FirstChunk is the time in seconds from acceptance to the first chunk of a
+	// response.
 	FirstChunk prometheus.Histogram
-	// Duration is the time from acceptance to the end, by path.
+	// Duration is the time in seconds from acceptance to completion, by path.
 	Duration *prometheus.HistogramVec
-	// Chunks relayed to callers.
+	// Chunks counts the response chunks relayed to callers.
 	Chunks prometheus.Counter
-	// BodyBytes of callers' requests held now.
+	// BodyBytes is the number of bytes reserved for the bodies of requests in
+	// flight.
 	BodyBytes prometheus.Gauge
-	// Panics caught in handlers.
+	// Panics counts the panics recovered in handlers.
 	Panics prometheus.Counter
 }
 
-// Description is one metric as documented.
+// Description is the documentation of one metric.
 type Description struct {
 	Name, Type, Labels, Meaning string
 }
@@ -43,11 +45,12 @@
 	{"hatchplank_http_panics_total", "counter", "", "Faults caught in request handlers; each one is a defect."},
 }
 
-// latencyBuckets reach from warm answers to cold starts, in seconds.
+// latencyBuckets are in seconds and cover answers of loaded models as well as cold
+// starts.
 var latencyBuckets = []float64{0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 20, 40, 80, 160, 320}
 
-// NewMetrics returns a registry with the interface's metrics, the Go runtime's
-// and the process's.
+// NewMetrics returns the interface's metrics in a new registry, which also holds
+// the metrics of the Go runtime and of the process.
 func NewMetrics() *Metrics {
 	metrics := &Metrics{
 		registry:   prometheus.NewRegistry(),
@@ -68,7 +71,7 @@
 	return metrics
 }
 
-// Registry is where other parts of the node register their metrics.
+// Registry returns the registry in which other components register their metrics.
 func (m *Metrics) Registry() *prometheus.Registry { return m.registry }
 
 // RegisterGauge adds a gauge whose value is read when metrics are gathered.
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -21,7 +21,7 @@
 const metricsPage = "../../docs/operators/metrics.md"
 
 var _ = Describe("logs", func() {
-	It("carry the fields of a decision that apply", func() {
+	It("contain the non-empty fields of a decision", func() {
 		var output bytes.Buffer
 		logger, err := logging.NewLogger(&output, "info", "node-1")
 		Expect(err).NotTo(HaveOccurred())
@@ -38,7 +38,7 @@
 		}))
 	})
 
-	DescribeTable("refuse a level that does not exist", func(level string) {
+	DescribeTable("reject an unknown level", func(level string) {
 		_, err := logging.NewLogger(&bytes.Buffer{}, level, "node")
 		Expect(err).To(HaveOccurred())
 	}, Entry("a word", "loud"), Entry("nothing", ""))
@@ -68,7 +68,7 @@
 		}
 	})
 
-	It("of other parts are gathered once registered", func() {
+	It("of other components are gathered once registered", func() {
 		metrics := telemetry.NewMetrics()
 		Expect(metrics.RegisterGauge("hatchplank_test_waiting", "Waiting.", func() float64 { return 4 })).To(Succeed())
 		Expect(metrics.RegisterGauge("hatchplank_test_waiting", "Waiting.", func() float64 { return 5 })).NotTo(Succeed())
