--- a/internal/logging/limiter.go
+++ b/internal/logging/limiter.go
@@ -7,8 +7,9 @@
 	"github.com/rs/zerolog"
 )
 
-// Limiter bounds the lines of each kind in a second. The next line that is
-// written tells how many were left out before it.
+// Limiter limits the log lines of each kind per second. The next line written
+// after that carries the number of lines that were suppressed. It is safe for
+// concurrent use.
 type Limiter struct {
 	perSecond int
 
@@ -17,19 +18,20 @@
 }
 
 type kindCount struct {
-	second  int64
-	written int
-	leftOut int
+	second     int64
+	written    int
+	suppressed int
 }
 
-// NewLimiter allows this many lines of each kind in a second.
+// NewLimiter returns a limiter that allows perSecond lines of each kind in each
+// second.
 func NewLimiter(perSecond int) *Limiter {
 	return &Limiter{perSecond: perSecond, kinds: map[string]*kindCount{}}
 }
 
-// Allow reports whether a line of the kind may be written now, and how many
-// lines of the kind were left out since the last one.
-func (l *Limiter) Allow(kind string, now time.Time) (leftOut int, allowed bool) {
+// Allow reports whether a line of the kind may be written now, and how many lines
+// of the kind were suppressed since the last one that was allowed.
+func (l *Limiter) Allow(kind string, now time.Time) (suppressed int, allowed bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	count := l.kinds[kind]
@@ -41,26 +43,27 @@
 		count.second, count.written = second, 0
 	}
 	if count.written >= l.perSecond {
-		count.leftOut++
+		count.suppressed++
 		return 0, false
 	}
 	count.written++
-	leftOut, count.leftOut = count.leftOut, 0
-	return leftOut, true
+	suppressed, count.suppressed = count.suppressed, 0
+	return suppressed, true
 }
 
-// Event begins a line of the kind, or returns nil, to which nothing is written.
+// Event begins a log line of the kind. It returns nil, which is valid and logs
+// nothing, if the line is suppressed or the logger's level is higher.
 func (l *Limiter) Event(logger *zerolog.Logger, level zerolog.Level, kind string) *zerolog.Event {
 	if logger.GetLevel() > level {
 		return nil
 	}
-	leftOut, allowed := l.Allow(kind, time.Now())
+	suppressed, allowed := l.Allow(kind, time.Now())
 	if !allowed {
 		return nil
 	}
 	event := logger.WithLevel(level)
-	if leftOut > 0 {
-		event.Int("left_out", leftOut)
+	if suppressed > 0 {
+		event.Int("left_out", suppressed)
 	}
 	return event
 }
