--- a/internal/auth/certificate.go
+++ b/internal/auth/certificate.go
@@ -13,29 +13,32 @@
 	"github.com/hatchplank/hatchplank/internal/clock"
 )
 
-// CertificateFiles name a certificate chain and its key, both PEM.
+// CertificateFiles are the paths of a certificate chain and its private key, both
+// in PEM format.
 type CertificateFiles struct {
 	Certificate string
 	Key         string
 }
 
-// CertificateReloader serves the certificate of two files and takes a new one
-// when the files change. A pair that can't be used leaves the one before in
-// force. Keys are never logged.
+// CertificateReloader serves a certificate that is read from files, and reloads it
+// when the files change. If the new pair is invalid, the previous one stays in
+// use. Keys are never logged.
 type CertificateReloader struct {
 	files   CertificateFiles
 	logger  zerolog.Logger
-	current atomic.Pointer[loadedCertificate]
+	current atomic.Pointer[loadedPair]
 	stop    func()
 }
 
-type loadedCertificate struct {
+// loadedPair is a parsed certificate with the contents of the files, which are
+// compared to detect changes.
+type loadedPair struct {
 	certificate tls.Certificate
 	chain, key  []byte
 }
 
-// NewCertificateReloader reads the files, and again every period. An error
-// means that the first reading failed.
+// NewCertificateReloader loads the files and checks them for changes every period.
+// It returns an error if the first load fails.
 func NewCertificateReloader(files CertificateFiles, c clock.Clock, period time.Duration, logger zerolog.Logger) (*CertificateReloader, error) {
 	reloader := &CertificateReloader{files: files, logger: logger}
 	if _, err := reloader.reload(); err != nil {
@@ -45,23 +48,24 @@
 	return reloader, nil
 }
 
-// GetCertificate fits tls.Config.
+// GetCertificate returns the current certificate; it implements the callback of
+// tls.Config.
 func (r *CertificateReloader) GetCertificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 	return &r.current.Load().certificate, nil
 }
 
-// TLSConfig returns a configuration that always serves the newest certificate.
+// TLSConfig returns a TLS configuration that serves the current certificate.
 func (r *CertificateReloader) TLSConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: r.GetCertificate}
 }
 
-// Close ends the polling.
+// Close stops checking the files.
 func (r *CertificateReloader) Close() { r.stop() }
 
 func (r *CertificateReloader) poll() {
 	changed, err := r.reload()
 	if err != nil {
-		r.logger.Error().Err(err).Str("file", r.files.Certificate).Msg("certificate not reloaded; the one before stays in force")
+		r.logger.Error().Err(err).Str("file", r.files.Certificate).Msg("certificate not reloaded; the previous one stays in use")
 		return
 	}
 	if changed {
@@ -69,7 +73,7 @@
 	}
 }
 
-// reload reads both files and reports whether a new pair came into force.
+// reload reads both files and reports whether a new pair was loaded.
 func (r *CertificateReloader) reload() (bool, error) {
 	chain, err := os.ReadFile(r.files.Certificate)
 	if err != nil {
@@ -85,8 +89,8 @@
 	}
 	certificate, err := tls.X509KeyPair(chain, key)
 	if err != nil {
-		return false, eris.Wrap(err, "certificate and key don't form a pair")
+		return false, eris.Wrap(err, "certificate and key do not match")
 	}
-	r.current.Store(&loadedCertificate{certificate: certificate, chain: chain, key: key})
+	r.current.Store(&loadedPair{certificate: certificate, chain: chain, key: key})
 	return true, nil
 }
--- a/internal/auth/certificate_test.go
+++ b/internal/auth/certificate_test.go
@@ -20,10 +20,10 @@
 	"github.com/hatchplank/hatchplank/internal/simulation"
 )
 
-const pollPeriod = time.Second
+const pollInterval = time.Second
 
-// writePair writes a self-signed pair with the serial number and returns the
-// key's PEM.
+// writePair writes a self-signed certificate with the serial number and its key,
+// and returns the key in PEM format.
 func writePair(files auth.CertificateFiles, serial int64) []byte {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	Expect(err).NotTo(HaveOccurred())
@@ -51,7 +51,7 @@
 	})
 
 	newReloader := func() *auth.CertificateReloader {
-		reloader, err := auth.NewCertificateReloader(files, loop, pollPeriod, zerolog.New(&logs))
+		reloader, err := auth.NewCertificateReloader(files, loop, pollInterval, zerolog.New(&logs))
 		Expect(err).NotTo(HaveOccurred())
 		return reloader
 	}
@@ -64,29 +64,29 @@
 		return parsed.SerialNumber.Int64()
 	}
 
-	It("takes a new pair within a period, and none after Close", func() {
+	It("loads a new pair within one period, and none after Close", func() {
 		writePair(files, 1)
 		reloader := newReloader()
 		Expect(serialOf(reloader)).To(BeEquivalentTo(1))
 		writePair(files, 2)
-		loop.RunFor(pollPeriod)
+		loop.RunFor(pollInterval)
 		Expect(serialOf(reloader)).To(BeEquivalentTo(2))
 		reloader.Close()
 		writePair(files, 3)
-		loop.RunFor(5 * pollPeriod)
+		loop.RunFor(5 * pollInterval)
 		Expect(serialOf(reloader)).To(BeEquivalentTo(2))
 	})
 
-	DescribeTable("keeps the pair in force when the new one can't be used", func(spoil func()) {
+	DescribeTable("keeps the current pair when the new one is invalid", func(corrupt func()) {
 		keyPEM := writePair(files, 1)
 		reloader := newReloader()
-		spoil()
-		loop.RunFor(pollPeriod)
+		corrupt()
+		loop.RunFor(pollInterval)
 		Expect(serialOf(reloader)).To(BeEquivalentTo(1))
 		Expect(logs.String()).To(ContainSubstring("not reloaded"))
 		Expect(logs.String()).NotTo(ContainSubstring(string(keyPEM[40:80])))
 		writePair(files, 2)
-		loop.RunFor(pollPeriod)
+		loop.RunFor(pollInterval)
 		Expect(serialOf(reloader)).To(BeEquivalentTo(2))
 	},
 		Entry("no certificate", func() { Expect(os.Remove(files.Certificate)).To(Succeed()) }),
@@ -98,8 +98,8 @@
 		}),
 	)
 
-	It("fails when there is no pair at the start", func() {
-		_, err := auth.NewCertificateReloader(files, loop, pollPeriod, zerolog.Nop())
+	It("fails when the files do not exist at the start", func() {
+		_, err := auth.NewCertificateReloader(files, loop, pollInterval, zerolog.Nop())
 		Expect(err).To(HaveOccurred())
 	})
 })
--- a/internal/auth/digests.go
+++ b/internal/auth/digests.go
@@ -5,19 +5,21 @@
 	"crypto/subtle"
 )
 
+// digestShards is the number of values of a digest's first byte, which selects the
+// shard.
 const digestShards = 256
 
-// Digest of a secret. The secret itself is kept nowhere.
+// Digest is the SHA-256 digest of a secret. The secret itself is not stored.
 type Digest [sha256.Size]byte
 
-// DigestOf hashes a secret.
+// DigestOf returns the digest of a secret.
 func DigestOf(secret string) Digest { return sha256.Sum256([]byte(secret)) }
 
-// Digests finds what belongs to a secret by its digest. Reading is safe for
-// concurrent use.
+// Digests maps digests of secrets to values. Concurrent calls of Find are safe if
+// Add is not called at the same time.
 //
-// Only the digest decides which entries are compared and each comparison takes
-// constant time, so the time of a look-up tells nothing about a secret.
+// Which entries are compared depends only on the digest, and each comparison takes
+// constant time, so that the duration of a lookup reveals nothing about a secret.
 type Digests[T any] struct {
 	shards [digestShards][]digestEntry[T]
 }
@@ -27,7 +29,7 @@
 	value  T
 }
 
-// Add notes what belongs to a digest; false if the digest is known already.
+// Add adds the value of a digest. It returns false if the digest already has one.
 func (d *Digests[T]) Add(digest Digest, value T) bool {
 	if _, used := d.Find(digest); used {
 		return false
@@ -37,7 +39,8 @@
 	return true
 }
 
-// Find compares with every entry of the shard, found or not.
+// Find returns the value of a digest, or false if there is none. It compares every
+// entry of the shard in either case.
 func (d *Digests[T]) Find(digest Digest) (T, bool) {
 	var value T
 	found := false
--- a/internal/auth/keyring.go
+++ b/internal/auth/keyring.go
@@ -8,41 +8,42 @@
 
 const (
 	bearerScheme = "bearer "
-	// maxTokenLength in bytes; longer tokens are refused without being hashed.
-	maxTokenLength = 512
+	// maxAuthorizationLength is the maximum length in bytes of an Authorization header's
+	// value; longer ones are rejected without hashing.
+	maxAuthorizationLength = 512
 )
 
-// Credential is one token as the settings hold it: only its hash.
+// Credential is one token of the settings, of which only the hash is stored.
 type Credential struct {
-	// SHA256 is the token's SHA-256 in hexadecimal.
+	// SHA256 is the SHA-256 digest of the token in hexadecimal.
 	SHA256 string
 	Tenant string
 	Role   Role
 }
 
-// HashToken returns the SHA-256 of a token as Credential holds it.
+// HashToken returns the SHA-256 digest of a token in the format of Credential.
 func HashToken(token string) string {
 	digest := DigestOf(token)
 	return hex.EncodeToString(digest[:])
 }
 
-// Keyring finds the principal of a token. It is immutable and safe for
-// concurrent use.
+// Keyring maps tokens to principals. It is immutable and safe for concurrent use.
 type Keyring struct {
 	principals Digests[Principal]
 }
 
-// NewKeyring checks all credentials and returns every fault joined in one error.
+// NewKeyring validates all credentials and returns a keyring of them, or one error
+// that lists all invalid credentials.
 func NewKeyring(credentials []Credential) (*Keyring, error) {
 	keyring := &Keyring{}
-	var faults []string
+	var problems []string
 	for position, credential := range credentials {
 		if err := keyring.add(credential); err != nil {
-			faults = append(faults, fmt.Sprintf("token %d: %v", position, err))
+			problems = append(problems, fmt.Sprintf("token %d: %v", position, err))
 		}
 	}
-	if len(faults) > 0 {
-		return nil, fmt.Errorf("credentials: %s", strings.Join(faults, "; "))
+	if len(problems) > 0 {
+		return nil, fmt.Errorf("credentials: %s", strings.Join(problems, "; "))
 	}
 	return keyring, nil
 }
@@ -64,9 +65,10 @@
 	return nil
 }
 
-// Authenticate returns the principal of an Authorization header's value.
+// Authenticate returns the principal of an Authorization header's value, or false
+// if the value holds no known bearer token.
 func (k *Keyring) Authenticate(authorization string) (Principal, bool) {
-	if len(authorization) <= len(bearerScheme) || len(authorization) > maxTokenLength {
+	if len(authorization) <= len(bearerScheme) || len(authorization) > maxAuthorizationLength {
 		return Principal{}, false
 	}
 	scheme, token := authorization[:len(bearerScheme)], authorization[len(bearerScheme):]
--- a/internal/auth/keyring_test.go
+++ b/internal/auth/keyring_test.go
@@ -34,7 +34,7 @@
 		Entry("a very long token", "Bearer "+strings.Repeat("s", 10_000), false),
 	)
 
-	DescribeTable("refuses a bad credential", func(change func(*auth.Credential), fault string) {
+	DescribeTable("rejects an invalid credential", func(change func(*auth.Credential), fault string) {
 		bad := credential
 		change(&bad)
 		_, err := auth.NewKeyring([]auth.Credential{{SHA256: auth.HashToken("other"), Role: auth.RoleAdmin}, bad})
@@ -47,12 +47,12 @@
 		Entry("a token listed twice", func(c *auth.Credential) { c.SHA256 = auth.HashToken("other") }, "the same token"),
 	)
 
-	It("names every fault at once", func() {
+	It("reports all invalid credentials at once", func() {
 		_, err := auth.NewKeyring([]auth.Credential{{}, {}})
 		Expect(err).To(MatchError(And(ContainSubstring("token 0"), ContainSubstring("token 1"))))
 	})
 
-	It("reads the roles it writes and orders them", func() {
+	It("parses the names of roles and orders roles", func() {
 		for _, role := range []auth.Role{auth.RoleCaller, auth.RoleOperator, auth.RoleAdmin} {
 			Expect(auth.ParseRole(role.String())).To(Equal(role))
 		}
--- a/internal/auth/principal.go
+++ b/internal/auth/principal.go
@@ -4,8 +4,8 @@
 
 import "fmt"
 
-// Role is what a token's holder may do. Roles are ordered: each one may do all
-// that the one before may.
+// Role is the set of permissions of a token. Roles are ordered: each one includes
+// the permissions of the one before.
 type Role uint8
 
 // The roles.
@@ -20,7 +20,7 @@
 
 var roleNames = map[Role]string{RoleCaller: "caller", RoleOperator: "operator", RoleAdmin: "admin"}
 
-// String returns the role's word in the settings.
+// String returns the role's name in the settings, or "none".
 func (r Role) String() string {
 	if name, known := roleNames[r]; known {
 		return name
@@ -28,7 +28,7 @@
 	return "none"
 }
 
-// ParseRole reads a role's word.
+// ParseRole returns the role of a name in the settings.
 func ParseRole(word string) (Role, error) {
 	for role, name := range roleNames {
 		if name == word {
@@ -38,17 +38,17 @@
 	return 0, fmt.Errorf("role %q is not one of caller, operator, admin", word)
 }
 
-// Principal is who an authenticated request comes from.
+// Principal is the authenticated sender of a request.
 type Principal struct {
 	// Tenant of the token; may be empty for an administrator.
 	Tenant string
 	Role   Role
 }
 
-// Allows reports whether the principal may do what the role may.
+// Allows reports whether the principal has the permissions of the role.
 func (p Principal) Allows(role Role) bool { return p.Role >= role && role != 0 }
 
-// Manages reports whether the principal may see and edit the tenant's rows.
+// Manages reports whether the principal may read and edit the tenant's rows.
 func (p Principal) Manages(tenant string) bool {
 	switch p.Role {
 	case RoleAdmin:
