--- a/internal/settings/calendar.go
+++ b/internal/settings/calendar.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// RoundLength is the time from a round's opening to the end of its last phase.
+// RoundLength returns the time from a round's opening to the end of its last phase.
 func (w Workload) RoundLength() time.Duration {
 	var length time.Duration
 	for _, phase := range w.Phases[1:] {
@@ -11,7 +11,8 @@
 	return length
 }
 
-// Openings lists when rounds open before a horizon, in the order of Rounds.
+// Openings returns the times before the horizon at which rounds open, in the order
+// of Rounds.
 func (w Workload) Openings(horizon time.Duration) []time.Duration {
 	var openings []time.Duration
 	for _, round := range w.Rounds {
@@ -25,9 +26,9 @@
 	return openings
 }
 
-// RateAt returns the requests a second of a class with the given rates, at a
-// time after the beginning of the calendar. Between rounds the quiet phase's
-// rate holds; rounds that overlap add up.
+// RateAt returns the requests per second of a class with the given rates by phase,
+// at a time after the beginning of the calendar. Between rounds it is the rate of
+// the quiet phase; the rates of overlapping rounds are added.
 func (w Workload) RateAt(rates map[string]float64, at time.Duration) float64 {
 	quiet := rates[w.Phases[0].Name]
 	total := quiet
@@ -39,7 +40,9 @@
 	return max(total, 0)
 }
 
-// PhaseAt returns the phase at a time: of the rounds open, the latest opened.
+// PhaseAt returns the phase at a time after the beginning of the calendar. If
+// several rounds are open, it is the phase of the one opened last; if none is, it
+// is the quiet phase.
 func (w Workload) PhaseAt(at time.Duration) Phase {
 	newest, found := time.Duration(0), false
 	for _, round := range w.Rounds {
@@ -55,8 +58,8 @@
 	return w.Phases[index]
 }
 
-// elapsed returns the time since the round's last opening, and whether it is
-// still open.
+// elapsed returns the time since the round's latest opening, and whether the round
+// is still open.
 func (r Round) elapsed(at, length time.Duration) (time.Duration, bool) {
 	since := at - r.Start
 	if since < 0 {
@@ -68,7 +71,8 @@
 	return since, since < length
 }
 
-// phaseInRound returns the index of the phase and the time since it began.
+// phaseInRound returns the index of the phase at a time after the opening, and the
+// time since that phase began.
 func (w Workload) phaseInRound(elapsed time.Duration) (int, time.Duration) {
 	last := len(w.Phases) - 1
 	for index := 1; index < last; index++ {
@@ -80,7 +84,8 @@
 	return last, elapsed
 }
 
-// rateInRound moves linearly from one phase's rate to the next over the ramp.
+// rateInRound returns the rate at a time after the opening. It changes linearly
+// from the rate of the previous phase during the ramp.
 func (w Workload) rateInRound(rates map[string]float64, elapsed time.Duration) float64 {
 	index, since := w.phaseInRound(elapsed)
 	phase := w.Phases[index]
--- a/internal/settings/decode_errors.go
+++ b/internal/settings/decode_errors.go
@@ -15,41 +15,42 @@
 var (
 	durationType = reflect.TypeFor[time.Duration]()
 	sizeType     = reflect.TypeFor[Size]()
-	errForm      = errors.New("another form is expected")
+	errWrongType = errors.New("value has the wrong type or format")
 )
 
-// strictHook reads durations and sizes, and refuses numbers where they would
-// lose their unit or fraction.
+// strictHook parses durations and sizes. It rejects numbers without a unit for
+// durations, and values for integers that would be truncated or converted.
 func strictHook(from, to reflect.Type, data any) (any, error) {
 	switch {
 	case from == to:
 		return data, nil
 	case to == durationType:
-		return readText(data, time.ParseDuration)
+		return parseText(data, time.ParseDuration)
 	case to == sizeType && from.Kind() == reflect.String:
-		size, err := readText(data, table.ParseSize)
+		size, err := parseText(data, table.ParseSize)
 		return size, err
 	case isInteger(to.Kind()) && !isInteger(from.Kind()):
-		return nil, errForm
+		return nil, errWrongType
 	}
 	return data, nil
 }
 
-func readText[T any](data any, parse func(string) (T, error)) (any, error) {
+// parseText parses a value that must be a string.
+func parseText[T any](data any, parse func(string) (T, error)) (any, error) {
 	text, isText := data.(string)
 	if !isText {
-		return nil, errForm
+		return nil, errWrongType
 	}
 	value, err := parse(text)
 	if err != nil {
-		return nil, errForm
+		return nil, errWrongType
 	}
 	return value, nil
 }
 
 func isInteger(kind reflect.Kind) bool { return kind >= reflect.Int && kind <= reflect.Uint64 }
 
-// addDecodeErrors reports each value of a wrong form, by its key.
+// addDecodeErrors adds a problem for each value of the wrong type or format.
 func addDecodeErrors(err error, form reflect.Type, raw map[string]any, problems *problemList) {
 	if err == nil {
 		return
@@ -71,13 +72,14 @@
 		return
 	}
 	key := decodeError.Name()
-	problems.add(key, lookup(raw, key), formOf(form, key))
+	problems.add(key, lookup(raw, key), expectedForm(form, key))
 }
 
-// lookup finds the value of a key such as "tenants[0].weight".
+// lookup returns the value at a key such as "tenants[0].weight", or nil if there is
+// none.
 func lookup(raw map[string]any, key string) any {
 	var value any = raw
-	for _, step := range steps(key) {
+	for _, step := range keySegments(key) {
 		switch container := value.(type) {
 		case map[string]any:
 			value = container[step]
@@ -94,8 +96,8 @@
 	return value
 }
 
-// steps splits "tenants[0].weight" into "tenants", "0", "weight".
-func steps(key string) []string {
+// keySegments splits "tenants[0].weight" into "tenants", "0", "weight".
+func keySegments(key string) []string {
 	return strings.FieldsFunc(key, func(letter rune) bool {
 		return letter == '.' || letter == '[' || letter == ']'
 	})
--- a/internal/settings/default.go
+++ b/internal/settings/default.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// DefaultTenantWeight is the weight of a tenant that names none.
+// DefaultTenantWeight is the weight of a tenant without a weight in the file.
 const DefaultTenantWeight = 1
 
-// Default returns the settings that hold where the file says nothing. They
-// still lack what only the operators know.
+// Default returns the default settings. They are not valid by themselves: settings
+// without a default must be set in the file.
 func Default() Settings {
 	return Settings{
 		Listen:    Listen{Callers: "127.0.0.1:8080", Peers: "127.0.0.1:7080"},
@@ -42,8 +42,8 @@
 	}
 }
 
-// fillIn completes what depends on other settings.
-func fillIn(settings *Settings) {
+// applyDerivedDefaults sets the defaults that depend on other settings.
+func applyDerivedDefaults(settings *Settings) {
 	if settings.Node.Name == "" {
 		settings.Node.Name = settings.Listen.Callers
 	}
--- a/internal/settings/derived.go
+++ b/internal/settings/derived.go
@@ -5,11 +5,11 @@
 	"github.com/hatchplank/hatchplank/internal/cells"
 )
 
-// defaultCell is the cell of a deployment that names none.
+// defaultCell is the name of the only cell of a deployment without configured cells.
 const defaultCell = "all"
 
-// Layout returns the division into cells; without cells in the file, one cell
-// holds all engine pools. A cell without pools takes engines of all pools.
+// Layout returns the cell layout. Without cells in the file, one cell holds all
+// engine pools. A cell without pools holds engines of all pools.
 func (s Settings) Layout() cells.Layout {
 	if len(s.Cells) == 0 {
 		return cells.Layout{Cells: []cells.Cell{{Name: defaultCell, Pools: s.Pools.Engines}}}
@@ -43,7 +43,8 @@
 	return weights
 }
 
-// Credentials returns all tokens as the keyring takes them.
+// Credentials returns all tokens as credentials for auth.NewKeyring. It returns an
+// error for an unknown role.
 func (s Settings) Credentials() ([]auth.Credential, error) {
 	var credentials []auth.Credential
 	for _, tenant := range s.Tenants {
--- a/internal/settings/form.go
+++ b/internal/settings/form.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// formOf describes what may stand at a key of a type.
-func formOf(root reflect.Type, key string) string {
-	found := typeAt(root, steps(key))
+// expectedForm describes the values that are allowed at a key of a type.
+func expectedForm(root reflect.Type, key string) string {
+	found := typeAt(root, keySegments(key))
 	switch {
 	case found == nil:
 		return "a documented key"
@@ -34,10 +34,10 @@
 	}
 }
 
-// typeAt follows the steps of a key through a type; nil if there is no such key.
-func typeAt(root reflect.Type, path []string) reflect.Type {
+// typeAt returns the type at a key of a type, or nil if there is no such key.
+func typeAt(root reflect.Type, segments []string) reflect.Type {
 	current := root
-	for _, step := range path {
+	for _, step := range segments {
 		switch current.Kind() {
 		case reflect.Struct:
 			field, found := fieldByKey(current, step)
@@ -59,6 +59,7 @@
 	return current
 }
 
+// fieldByKey returns the struct field whose koanf tag is the key.
 func fieldByKey(structure reflect.Type, key string) (reflect.StructField, bool) {
 	for index := range structure.NumField() {
 		if field := structure.Field(index); field.Tag.Get(keyTag) == key {
@@ -68,8 +69,8 @@
 	return reflect.StructField{}, false
 }
 
-// addUnknownKeys walks a value beside the type it should have and reports the
-// keys that the type does not know.
+// addUnknownKeys compares a value with its expected type and adds a problem for
+// each key that the type does not have.
 func addUnknownKeys(path string, value any, form reflect.Type, problems *problemList) {
 	switch found := value.(type) {
 	case map[string]any:
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -17,9 +17,10 @@
 	keyTag       = "koanf"
 )
 
-// Load reads a YAML file on top of the defaults and overrides on top of that.
-// The overrides' keys are paths, such as "node.zone"; flags are given this way.
-// All problems are returned at once; with any, the settings must not be used.
+// Load merges a YAML file over the defaults, and the overrides over both. The keys
+// of overrides are paths such as "node.zone"; command-line flags are passed as
+// overrides. All problems are returned at once; if there are any, the settings must
+// not be used.
 func Load(file []byte, overrides map[string]any) (Settings, []Problem) {
 	result := Default()
 	var problems problemList
@@ -27,14 +28,15 @@
 	if !readable {
 		return result, problems.problems
 	}
-	fillIn(&result)
+	applyDerivedDefaults(&result)
 	validate(&result, &problems)
-	checkReferences(&result, &problems)
+	checkAcrossSections(&result, &problems)
 	return result, problems.problems
 }
 
-// decode fills target and reports what does not fit it. It returns false when
-// nothing could be read.
+// decode decodes the file and the overrides into target, and adds a problem for
+// each key or value that does not match target's type. It returns false if the file
+// is too large or not valid YAML.
 func decode(file []byte, overrides map[string]any, target any, problems *problemList) bool {
 	if len(file) > MaxInputBytes {
 		problems.add("", fmt.Sprintf("%d bytes", len(file)), fmt.Sprintf("at most %d bytes", MaxInputBytes))
--- a/internal/settings/problem.go
+++ b/internal/settings/problem.go
@@ -5,30 +5,32 @@
 	"strings"
 )
 
-// Bounds of what is read and reported.
+// Limits of input and reports.
 const (
-	// MaxInputBytes is the largest file accepted.
+	// MaxInputBytes is the maximum size of a file.
 	MaxInputBytes = 4 << 20
-	// MaxProblems bounds the problems reported.
+	// MaxProblems is the maximum number of problems reported.
 	MaxProblems = 1000
 
+	// maxQuotedBytes is the length to which keys and values are shortened in
+	// problems.
 	maxQuotedBytes = 80
 )
 
-// hiddenValue stands for a value that must not be shown.
+// hiddenValue replaces a secret value in problems.
 const hiddenValue = "(hidden)"
 
-// Problem is one thing wrong with the settings.
+// Problem is one invalid key or value of the settings.
 type Problem struct {
-	// Key in the file, e.g. "tenants[0].weight".
+	// Key is the path in the file, such as "tenants[0].weight".
 	Key string `json:"key"`
-	// Value found, shortened; secrets are hidden.
+	// Value is the value found, shortened; secrets are hidden.
 	Value string `json:"value"`
-	// Allowed says what would be accepted.
+	// Allowed describes the valid values.
 	Allowed string `json:"allowed"`
 }
 
-// String names key, value and what is allowed, in one line.
+// String returns key, value and allowed values in one line.
 func (p Problem) String() string {
 	if p.Key == "" {
 		return fmt.Sprintf("%q is not allowed: %s", p.Value, p.Allowed)
@@ -36,12 +38,12 @@
 	return fmt.Sprintf("%s: %q is not allowed: %s", p.Key, p.Value, p.Allowed)
 }
 
-// InvalidError carries all problems of refused settings.
+// InvalidError is the error for invalid settings, with all their problems.
 type InvalidError struct {
 	Problems []Problem
 }
 
-// Error gives one line a problem.
+// Error returns one line per problem.
 func (e *InvalidError) Error() string {
 	lines := make([]string, len(e.Problems))
 	for index, problem := range e.Problems {
@@ -50,7 +52,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// problemList keeps one problem a key, up to MaxProblems.
+// problemList collects at most one problem per key, up to MaxProblems.
 type problemList struct {
 	problems []Problem
 	keys     map[string]bool
@@ -67,8 +69,9 @@
 	l.problems = append(l.problems, Problem{Key: shorten(key), Value: valueText(key, value), Allowed: allowed})
 }
 
-// concern reports whether there is a problem with a key or a key below it.
-func (l *problemList) concern(key string) bool {
+// hasUnder reports whether there is a problem with a key that starts with the given
+// one, that is, with the key itself or a key below it.
+func (l *problemList) hasUnder(key string) bool {
 	for _, problem := range l.problems {
 		if strings.HasPrefix(problem.Key, key) {
 			return true
@@ -77,6 +80,7 @@
 	return false
 }
 
+// valueText formats a value for a problem: shortened, and hidden if it is a secret.
 func valueText(key string, value any) string {
 	if value == nil {
 		return ""
--- a/internal/settings/references.go
+++ b/internal/settings/references.go
@@ -6,17 +6,19 @@
 	"strings"
 )
 
-// heartbeatsPerLease is how many heartbeats must fit into a lease.
+// heartbeatsPerLease is the minimum number of heartbeat intervals in the lease's
+// time to live.
 const heartbeatsPerLease = 3
 
-// referenceCheck is a rule between keys of different parts. It is only checked
-// when the parts it depends on are sound, so that one fault is reported once.
-type referenceCheck struct {
+// crossCheck is a validation rule between keys of different sections. It is
+// checked only if the sections that it depends on are valid, so that one error is
+// reported only once.
+type crossCheck struct {
 	dependsOn []string
 	check     func(settings *Settings, problems *problemList)
 }
 
-var referenceChecks = []referenceCheck{
+var crossChecks = []crossCheck{
 	{[]string{"intervals"}, checkLease},
 	{[]string{"cells", "pools.engines"}, checkCells},
 	{[]string{"pools"}, checkPoolNames},
@@ -24,15 +26,15 @@
 	{[]string{"tenants", "administrators"}, checkTokens},
 }
 
-// checkReferences checks the rules between keys of different parts.
-func checkReferences(settings *Settings, problems *problemList) {
-	var due []referenceCheck
-	for _, candidate := range referenceChecks {
-		if !slices.ContainsFunc(candidate.dependsOn, problems.concern) {
-			due = append(due, candidate)
+// checkAcrossSections checks the rules between keys of different sections.
+func checkAcrossSections(settings *Settings, problems *problemList) {
+	var applicable []crossCheck
+	for _, candidate := range crossChecks {
+		if !slices.ContainsFunc(candidate.dependsOn, problems.hasUnder) {
+			applicable = append(applicable, candidate)
 		}
 	}
-	for _, reference := range due {
+	for _, reference := range applicable {
 		reference.check(settings, problems)
 	}
 }
@@ -78,11 +80,12 @@
 	}
 }
 
-// checkTokens refuses a token that two principals would share.
+// checkTokens adds a problem for each token that is used for more than one
+// principal.
 func checkTokens(settings *Settings, problems *problemList) {
 	used := map[string]string{}
 	check := func(key, hash string) {
-		if first, twice := used[hash]; twice && hash != "" {
+		if first, duplicate := used[hash]; duplicate && hash != "" {
 			problems.add(key, hash, "a token that is not used at "+first)
 			return
 		}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -22,8 +22,8 @@
 	RunSpecs(t, "settings")
 }
 
-// sound is a file without problems.
-var sound = fmt.Sprintf(`
+// validFile is a valid settings file.
+var validFile = fmt.Sprintf(`
 node: {zone: marousi, region: attica}
 listen: {callers: "127.0.0.1:8080", peers: "127.0.0.1:7080"}
 cluster: {secret: 0123456789abcdef}
@@ -47,8 +47,8 @@
 `, auth.HashToken("one"), auth.HashToken("two"))
 
 var _ = Describe("Load", func() {
-	It("reads a sound file on top of the defaults", func() {
-		loaded, problems := settings.Load([]byte(sound), nil)
+	It("merges a valid file over the defaults", func() {
+		loaded, problems := settings.Load([]byte(validFile), nil)
 		Expect(problems).To(BeEmpty())
 		Expect(loaded.Node.Name).To(Equal("127.0.0.1:8080"))
 		Expect(loaded.Platform.Timeout).To(Equal(time.Second))
@@ -63,8 +63,8 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("lets overrides win", func() {
-		loaded, problems := settings.Load([]byte(sound), map[string]any{
+	It("merges overrides over the file", func() {
+		loaded, problems := settings.Load([]byte(validFile), map[string]any{
 			"node.name": "n1", "limits.waiting": 5000, "intervals.tick": "100ms", "intervals.report": 2 * time.Second,
 		})
 		Expect(problems).To(BeEmpty())
@@ -74,9 +74,9 @@
 		Expect(loaded.Intervals.Report).To(Equal(2 * time.Second))
 	})
 
-	DescribeTable("names key, value and what is allowed",
+	DescribeTable("reports the key, the value and the allowed values",
 		func(key string, value any, allowed string) {
-			_, problems := settings.Load([]byte(sound), map[string]any{key: value})
+			_, problems := settings.Load([]byte(validFile), map[string]any{key: value})
 			Expect(problems).To(ContainElement(SatisfyAll(
 				HaveField("Key", HavePrefix(key)), HaveField("Allowed", ContainSubstring(allowed)))))
 			Expect(problems).To(HaveLen(1))
@@ -121,13 +121,13 @@
 
 	It("reports all problems at once and hides secrets", func() {
 		file := strings.NewReplacer("0123456789abcdef", "short-secret", "127.0.0.1:7080", "x", "timeout: 1s", "timeout: 1",
-			"role: operator", "role: king", "limits:", "limit:").Replace(sound)
+			"role: operator", "role: king", "limits:", "limit:").Replace(validFile)
 		_, problems := settings.Load([]byte(file), nil)
 		Expect(problems).To(HaveLen(5))
 		Expect((&settings.InvalidError{Problems: problems}).Error()).NotTo(ContainSubstring("short-secret"))
 	})
 
-	DescribeTable("refuses what is no settings file", func(file string) {
+	DescribeTable("rejects a file that can't be decoded", func(file string) {
 		_, problems := settings.Load([]byte(file), nil)
 		Expect(problems).To(HaveLen(1))
 	},
@@ -137,7 +137,7 @@
 		Entry("too large", strings.Repeat(" ", settings.MaxInputBytes+1)),
 	)
 
-	It("says what an empty file lacks", func() {
+	It("reports the required keys that an empty file lacks", func() {
 		_, problems := settings.Load(nil, nil)
 		Expect(problems).To(ContainElement(HaveField("Key", "node.zone")))
 		Expect(problems).To(HaveLen(8))
@@ -145,7 +145,7 @@
 })
 
 var _ = Describe("The documentation", func() {
-	It("has a line for each key and for no other", func() {
+	It("has one line for each key, and no others", func() {
 		document, err := os.ReadFile("../../docs/operators/settings.md")
 		Expect(err).NotTo(HaveOccurred())
 		var documented []string
@@ -156,7 +156,7 @@
 	})
 })
 
-// keysOf lists the keys of a type in order; lists are marked by [].
+// keysOf returns the keys of a type in order, with [] after the keys of lists.
 func keysOf(prefix string, form reflect.Type) []string {
 	switch {
 	case form.Kind() == reflect.Struct:
@@ -173,7 +173,7 @@
 }
 
 func FuzzLoad(f *testing.F) {
-	f.Add([]byte(sound))
+	f.Add([]byte(validFile))
 	f.Add([]byte("tenants: [{name: a, tokens: [3]}, 5, null]\n1: {2: 3}"))
 	f.Add([]byte("a: &x [*x]"))
 	f.Fuzz(func(t *testing.T, file []byte) {
@@ -183,7 +183,7 @@
 		}
 		for _, problem := range problems {
 			if problem.Allowed == "" {
-				t.Fatalf("nothing said to be allowed: %v", problem)
+				t.Fatalf("problem without allowed values: %v", problem)
 			}
 		}
 		if len(problems) == 0 && (loaded.Node.Zone == "" || len(loaded.Tenants) == 0 || bytes.Contains(file, []byte("\x00"))) {
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -24,7 +24,7 @@
 	result.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get(keyTag) })
 	for tag, check := range map[string]validator.Func{"name": isNameField, "address": isAddressField} {
 		if err := result.RegisterValidation(tag, check); err != nil {
-			panic(err) // only for an empty tag or function
+			panic(err) // only if the tag or the function is empty
 		}
 	}
 	return result
@@ -35,7 +35,7 @@
 	return len(text) <= maxNameLength && nameExpression.MatchString(text)
 }
 
-// isAddressField accepts an IP number and a port.
+// isAddressField accepts an IP address and a port.
 func isAddressField(field validator.FieldLevel) bool {
 	host, port, err := net.SplitHostPort(field.Field().String())
 	if err != nil {
@@ -48,7 +48,8 @@
 	return err == nil
 }
 
-// validate checks the rules in the validate tags.
+// validate checks the rules of the validate tags and adds a problem for each
+// violation.
 func validate(target any, problems *problemList) {
 	err := structValidator.Struct(target)
 	var faults validator.ValidationErrors
@@ -64,12 +65,12 @@
 		if fault.Tag() == "required" {
 			value = nil
 		}
-		problems.add(key, value, allowedBy(fault))
+		problems.add(key, value, allowedText(fault))
 	}
 }
 
-// allowedBy says in words what a rule allows.
-func allowedBy(fault validator.FieldError) string {
+// allowedText describes the values that a rule allows.
+func allowedText(fault validator.FieldError) string {
 	parameter := fault.Param()
 	switch fault.Tag() {
 	case "required":
@@ -110,22 +111,22 @@
 }
 
 func boundText(fault validator.FieldError) string {
-	word := map[string]string{"min": "at least ", "max": "at most "}[fault.Tag()]
+	relation := map[string]string{"min": "at least ", "max": "at most "}[fault.Tag()]
 	bound := fault.Param()
 	switch {
 	case fault.Type() == sizeType:
 		bytes, _ := strconv.ParseInt(bound, 10, 64)
-		return word + Size(bytes).String()
+		return relation + Size(bytes).String()
 	case fault.Kind() == reflect.String:
-		return word + bound + " characters"
+		return relation + bound + " characters"
 	case fault.Kind() == reflect.Slice:
-		return word + bound + " in the list"
+		return relation + bound + " in the list"
 	default:
-		return word + bound
+		return relation + bound
 	}
 }
 
-// fieldKeys are the keys of fields that rules of other fields name.
+// fieldKeys holds the keys of fields that are parameters of other fields' rules.
 var fieldKeys = map[string]string{
 	"BodyBytes":     "body",
 	"Duration":      "duration",
--- a/internal/settings/workload.go
+++ b/internal/settings/workload.go
@@ -11,16 +11,17 @@
 type Workload struct {
 	Name   string `koanf:"name" validate:"required,name"`
 	Region string `koanf:"region" validate:"required,name"`
-	// Zones in which servers are placed in turn.
+	// Zones over which servers are distributed round-robin.
 	Zones []string `koanf:"zones" validate:"min=1,max=100,unique,dive,name"`
-	// ZoneDelay is one way between zones, ClientDelay one way to clients.
+	// ZoneDelay is the one-way network delay between zones, ClientDelay the one
+	// between nodes and clients.
 	ZoneDelay   time.Duration `koanf:"zone_delay" validate:"min=0s,max=1s"`
 	ClientDelay time.Duration `koanf:"client_delay" validate:"min=0s,max=1s"`
 	Engines     []EngineGroup `koanf:"engines" validate:"min=1,max=100,unique=Pool,dive"`
 	BackEnds    []ServerGroup `koanf:"back_ends" validate:"max=100,unique=Pool,dive"`
 	WeightStore StoreLimits   `koanf:"weight_store"`
-	// Phases of a round in order; the first is the quiet phase, which also
-	// fills the time between rounds.
+	// Phases of a round in order. The first one is the quiet phase, which also
+	// applies between rounds.
 	Phases []Phase `koanf:"phases" validate:"min=2,max=20,unique=Name,dive"`
 	// Rounds of the calendar.
 	Rounds      []Round           `koanf:"rounds" validate:"min=1,max=100,unique=Name,dive"`
@@ -28,40 +29,41 @@
 	Calls       []BackEndClass    `koanf:"calls" validate:"max=100,unique=Name,dive"`
 }
 
-// EngineGroup is a number of equal model engines.
+// EngineGroup is a group of identical model engines.
 type EngineGroup struct {
 	Pool              string `koanf:"pool" validate:"required,name"`
 	Count             int    `koanf:"count" validate:"min=1,max=100000"`
 	Accelerators      int    `koanf:"accelerators" validate:"min=1,max=64"`
 	AcceleratorMemory Size   `koanf:"accelerator_memory" validate:"min=1073741824"`
-	// HostMemory and Disk hold cached checkpoints.
+	// HostMemory and Disk are the sizes of the checkpoint caches.
 	HostMemory Size `koanf:"host_memory" validate:"min=0"`
 	Disk       Size `koanf:"disk" validate:"min=0"`
-	// Bytes read a second from host memory, disk and weight store.
+	// MemorySpeed, DiskSpeed and RemoteSpeed are the bytes per second read from
+	// host memory, disk and weight store.
 	MemorySpeed Size `koanf:"memory_speed" validate:"min=1000000"`
 	DiskSpeed   Size `koanf:"disk_speed" validate:"min=1000000"`
 	RemoteSpeed Size `koanf:"remote_speed" validate:"min=1000000"`
-	// Batch is how many requests one replica runs at once.
+	// Batch is the number of requests that one replica runs concurrently.
 	Batch int `koanf:"batch" validate:"min=1,max=10000"`
-	// TokensPerSecond of one running request.
+	// TokensPerSecond is the generation rate of one running request.
 	TokensPerSecond float64 `koanf:"tokens_per_second" validate:"gt=0,max=10000"`
-	// PrefillTokensPerSecond of one replica.
+	// PrefillTokensPerSecond is the prefill rate of one replica.
 	PrefillTokensPerSecond float64 `koanf:"prefill_tokens_per_second" validate:"gt=0,max=1000000"`
 }
 
-// MemoryBytes is the accelerator memory of one engine.
+// MemoryBytes returns the accelerator memory of one engine in bytes.
 func (g EngineGroup) MemoryBytes() int64 { return int64(g.AcceleratorMemory) * int64(g.Accelerators) }
 
-// ServerGroup is a number of equal servers that are no engines.
+// ServerGroup is a group of identical servers other than engines.
 type ServerGroup struct {
 	Pool        string        `koanf:"pool" validate:"required,name"`
 	Count       int           `koanf:"count" validate:"min=1,max=100000"`
 	ServiceTime time.Duration `koanf:"service_time" validate:"min=1ms,max=1m"`
-	// Concurrency is how many calls one server runs at once.
+	// Concurrency is the number of calls that one server runs concurrently.
 	Concurrency int `koanf:"concurrency" validate:"min=1,max=100000"`
 }
 
-// StoreLimits are the weight store's.
+// StoreLimits are the limits of the weight store.
 type StoreLimits struct {
 	LoadsPerSecond float64 `koanf:"loads_per_second" validate:"gt=0,max=10000"`
 	FullSpeedLoads int     `koanf:"full_speed_loads" validate:"min=1,max=10000"`
@@ -70,59 +72,60 @@
 // Phase is a part of a round.
 type Phase struct {
 	Name string `koanf:"name" validate:"required,name"`
-	// Duration of the phase. The quiet phase's is the lead before the first
+	// Duration of the phase. That of the quiet phase is the time before the first
 	// round.
 	Duration time.Duration `koanf:"duration" validate:"min=1s,max=8760h"`
-	// Ramp is how long the rates take to change from those of the phase before.
+	// Ramp is the time over which rates change from those of the previous phase.
 	Ramp time.Duration `koanf:"ramp" validate:"min=0s,ltefield=Duration"`
 }
 
-// Round is a recurring round of the calendar.
+// Round is a round of the calendar, which may recur.
 type Round struct {
 	Name string `koanf:"name" validate:"required,name"`
-	// Start of the first opening after the beginning of the calendar.
+	// Start is the time of the first opening after the beginning of the calendar.
 	Start time.Duration `koanf:"start" validate:"min=0s,max=87600h"`
-	// Every is the time between openings; zero: the round does not recur.
+	// Every is the time between openings; if zero, the round does not recur.
 	Every time.Duration `koanf:"every" validate:"min=0s,max=87600h"`
-	// Scale multiplies the rates.
+	// Scale is the factor by which the rates above the quiet rate are multiplied.
 	Scale float64 `koanf:"scale" validate:"gt=0,max=100"`
 }
 
-// Tokens is a distribution of token counts, logarithmic-normal.
+// Tokens is a log-normal distribution of token counts.
 type Tokens struct {
 	Median int `koanf:"median" validate:"min=1,max=1000000"`
 	P99    int `koanf:"p99" validate:"gtefield=Median,max=1000000"`
 }
 
-// GenerationClass is traffic to models.
+// GenerationClass is a class of requests to models.
 type GenerationClass struct {
 	Name string `koanf:"name" validate:"required,name"`
-	// Rows is a pattern of row names as of path.Match.
+	// Rows is a path.Match pattern of row names.
 	Rows string `koanf:"rows" validate:"required,max=100"`
-	// Tenants whose callers send; none: all.
+	// Tenants whose callers send the requests; if empty, all tenants.
 	Tenants  []string `koanf:"tenants" validate:"max=10000,unique,dive,name"`
 	Priority int      `koanf:"priority" validate:"min=0,max=9"`
-	// TimeLimit asked for.
+	// TimeLimit that requests ask for.
 	TimeLimit time.Duration `koanf:"time_limit" validate:"min=100ms,max=1h"`
 	Prompt    Tokens        `koanf:"prompt"`
 	Output    Tokens        `koanf:"output"`
-	// SharedPrefix is the share of the prompt that all requests for a row have.
+	// SharedPrefix is the fraction of the prompt that all requests for a row have in
+	// common.
 	SharedPrefix float64 `koanf:"shared_prefix" validate:"min=0,max=1"`
-	// Streamed is the share of requests that stream.
+	// Streamed is the fraction of requests with a streamed response.
 	Streamed float64 `koanf:"streamed" validate:"min=0,max=1"`
-	// Skew is the exponent of the Zipf distribution over the rows; 0: uniform.
+	// Skew is the exponent of the Zipf distribution over the rows; 0 is uniform.
 	Skew float64 `koanf:"skew" validate:"min=0,max=4"`
-	// Rates are requests a second of the whole class, by phase.
+	// Rates are the requests per second of the whole class, by phase.
 	Rates map[string]float64 `koanf:"rates" validate:"min=1,dive,min=0,max=1000000"`
 }
 
-// Matches reports whether a row is of the class.
+// Matches reports whether a row's name matches the pattern of the class.
 func (c GenerationClass) Matches(row string) bool {
 	matched, err := path.Match(c.Rows, row)
 	return err == nil && matched
 }
 
-// BackEndClass is traffic to back-end pools.
+// BackEndClass is a class of calls to a back-end pool.
 type BackEndClass struct {
 	Name string `koanf:"name" validate:"required,name"`
 	Pool string `koanf:"pool" validate:"required,name"`
@@ -132,17 +135,18 @@
 	Priority  int           `koanf:"priority" validate:"min=0,max=9"`
 	TimeLimit time.Duration `koanf:"time_limit" validate:"min=100ms,max=1h"`
 	Body      Size          `koanf:"body" validate:"min=1,max=1073741824"`
-	// NonRepeatable is the share of calls that may run at most once.
+	// NonRepeatable is the fraction of calls that may run at most once.
 	NonRepeatable float64 `koanf:"non_repeatable" validate:"min=0,max=1"`
-	// Repeats is the share of non-repeatable calls that the caller sends again
-	// with the same key, perhaps at another node, RepeatAfter the first.
+	// Repeats is the fraction of non-repeatable calls that the caller sends again
+	// with the same key, possibly to another node, RepeatAfter after the first.
 	Repeats     float64       `koanf:"repeats" validate:"min=0,max=1"`
 	RepeatAfter time.Duration `koanf:"repeat_after" validate:"min=0s,max=10m"`
-	// Rates are calls a second of the whole class, by phase.
+	// Rates are the calls per second of the whole class, by phase.
 	Rates map[string]float64 `koanf:"rates" validate:"min=1,dive,min=0,max=1000000"`
 }
 
-// LoadWorkload reads a workload and returns all problems at once.
+// LoadWorkload decodes and validates a workload file and returns all problems at
+// once; if there are any, the workload must not be used.
 func LoadWorkload(file []byte) (Workload, []Problem) {
 	var result Workload
 	var problems problemList
--- a/internal/settings/workload_test.go
+++ b/internal/settings/workload_test.go
@@ -10,7 +10,7 @@
 	"github.com/hatchplank/hatchplank/internal/settings"
 )
 
-var _ = DescribeTable("LoadWorkload names key and what is allowed",
+var _ = DescribeTable("LoadWorkload reports the key and the allowed values",
 	func(old, replacement, key, allowed string) {
 		file, err := os.ReadFile("../../examples/schools/workload.yaml")
 		Expect(err).NotTo(HaveOccurred())
