--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -13,6 +13,7 @@
 	"github.com/go-playground/validator/v10"
 )
 
+// maxNameLength is the maximum length in bytes of names in the settings.
 const maxNameLength = 100
 
 var nameExpression = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
@@ -110,6 +111,7 @@
 	"ltefield": "at most the value of ",
 }
 
+// boundText describes the values that a min or max rule allows.
 func boundText(fault validator.FieldError) string {
 	relation := map[string]string{"min": "at least ", "max": "at most "}[fault.Tag()]
 	bound := fault.Param()
--- a/internal/window/window.go
+++ b/internal/window/window.go
@@ -18,12 +18,13 @@
 }
 
 // NewSum returns an empty sum over windows of the given length. Begin is the time
-// from which slots are counted.
+// from which slots are counted. A slot is at least 1 ms long.
 func NewSum(length time.Duration, begin time.Time) Sum {
 	return Sum{start: begin, slotLength: max(length/slotCount, time.Millisecond)}
 }
 
-// advance clears the slots between the newest one and the slot of now.
+// advance makes the slot of now the newest one, and clears the slots since the
+// previous newest one.
 func (s *Sum) advance(now time.Time) {
 	current := max(int64(now.Sub(s.start)/s.slotLength), 0)
 	if current-s.newest > int64(len(s.amounts)) {
