--- a/internal/peer/tcp/bad_peer_test.go
+++ b/internal/peer/tcp/bad_peer_test.go
@@ -76,9 +76,9 @@
 		config.Secret = []byte("other")
 		impostor := startTransport(config, echo)
 		client := startTransport(testConfig(), nil)
-		var end callResult
-		Eventually(startCall(client, impostor.Address(), testRequest{}, longTimeout), longTimeout).Should(Receive(&end))
-		Expect(end.err).To(HaveOccurred())
+		var result callResult
+		Eventually(startCall(client, impostor.Address(), testRequest{}, longTimeout), longTimeout).Should(Receive(&result))
+		Expect(result.err).To(HaveOccurred())
 		Expect(impostor.Statistics().MessagesReceived).To(BeZero())
 	})
 
--- a/internal/peer/tcp/tcp_suite_test.go
+++ b/internal/peer/tcp/tcp_suite_test.go
@@ -62,7 +62,7 @@
 // startCall starts a call and returns the channel that receives its result. The
 // channel has space for a second result, which would be a fault.
 func startCall(t *Transport, address string, message peer.Message, timeout time.Duration) <-chan callResult {
-	ends := make(chan callResult, 2)
-	t.Call(address, message, timeout, func(message peer.Message, err error) { ends <- callResult{message, err} })
-	return ends
+	results := make(chan callResult, 2)
+	t.Call(address, message, timeout, func(message peer.Message, err error) { results <- callResult{message, err} })
+	return results
 }
--- a/internal/peer/tcp/transport_test.go
+++ b/internal/peer/tcp/transport_test.go
@@ -61,18 +61,18 @@
 			number int
 			reply  func(peer.Message, error)
 		}
-		asked := make(chan pendingReply, calls)
+		received := make(chan pendingReply, calls)
 		server := startTransport(testConfig(), func(_ string, message peer.Message, reply func(peer.Message, error)) {
-			asked <- pendingReply{message.(testRequest).Number, reply}
+			received <- pendingReply{message.(testRequest).Number, reply}
 		})
 		client := startTransport(testConfig(), nil)
-		var ends []<-chan callResult
+		var results []<-chan callResult
 		for number := range calls {
-			ends = append(ends, startCall(client, server.Address(), testRequest{Number: number}, longTimeout))
+			results = append(results, startCall(client, server.Address(), testRequest{Number: number}, longTimeout))
 		}
 		var pending []pendingReply
 		for range calls {
-			pending = append(pending, <-asked)
+			pending = append(pending, <-received)
 		}
 		for i := len(pending) - 1; i >= 0; i-- {
 			go func() {
@@ -80,9 +80,9 @@
 				pending[i].reply(testReply{Number: -1}, nil)
 			}()
 		}
-		for number, end := range ends {
-			Eventually(end, longTimeout).Should(Receive(Equal(callResult{message: testReply{Number: number}})))
-			Expect(end).NotTo(Receive())
+		for number, result := range results {
+			Eventually(result, longTimeout).Should(Receive(Equal(callResult{message: testReply{Number: number}})))
+			Expect(result).NotTo(Receive())
 		}
 	})
 
@@ -90,9 +90,9 @@
 		func(handler peer.Handler, message peer.Message, timeout time.Duration, expected any) {
 			server := startTransport(testConfig(), handler)
 			client := startTransport(testConfig(), nil)
-			var end callResult
-			Eventually(startCall(client, server.Address(), message, timeout), longTimeout).Should(Receive(&end))
-			Expect(end.err).To(MatchError(expected))
+			var result callResult
+			Eventually(startCall(client, server.Address(), message, timeout), longTimeout).Should(Receive(&result))
+			Expect(result.err).To(MatchError(expected))
 		},
 		Entry("no handler", nil, testRequest{}, longTimeout, errNoHandler.Error()),
 		Entry("handler fails", peer.Handler(func(_ string, _ peer.Message, reply func(peer.Message, error)) {
@@ -111,9 +111,9 @@
 	It("can still be used after a message that was too large", func() {
 		server := startTransport(testConfig(), echo)
 		client := startTransport(testConfig(), nil)
-		var end callResult
+		var result callResult
 		tooLarge := testRequest{Padding: make([]byte, DefaultMaxFrameBytes)}
-		Eventually(startCall(client, server.Address(), tooLarge, longTimeout), longTimeout).Should(Receive(&end))
+		Eventually(startCall(client, server.Address(), tooLarge, longTimeout), longTimeout).Should(Receive(&result))
 		Eventually(startCall(client, server.Address(), testRequest{Number: 1}, longTimeout), longTimeout).
 			Should(Receive(Equal(callResult{message: testReply{Number: 1}})))
 	})
@@ -134,14 +134,14 @@
 	})
 
 	It("fails calls whose connection is lost, and reconnects", func() {
-		asked := make(chan struct{}, 1)
-		first := startTransport(testConfig(), func(string, peer.Message, func(peer.Message, error)) { asked <- struct{}{} })
+		received := make(chan struct{}, 1)
+		first := startTransport(testConfig(), func(string, peer.Message, func(peer.Message, error)) { received <- struct{}{} })
 		client := startTransport(testConfig(), nil)
-		end := startCall(client, first.Address(), testRequest{}, time.Hour)
-		Eventually(asked, longTimeout).Should(Receive())
+		result := startCall(client, first.Address(), testRequest{}, time.Hour)
+		Eventually(received, longTimeout).Should(Receive())
 		first.Close()
 		var lost callResult
-		Eventually(end, longTimeout).Should(Receive(&lost))
+		Eventually(result, longTimeout).Should(Receive(&lost))
 		Expect(lost.err).To(MatchError(peer.ErrUnreachable))
 
 		config := testConfig()
@@ -158,9 +158,9 @@
 		client := startTransport(testConfig(), nil)
 		closed := startTransport(testConfig(), nil)
 		closed.Close()
-		var end callResult
-		Eventually(startCall(client, closed.Address(), testRequest{}, time.Hour), longTimeout).Should(Receive(&end))
-		Expect(end.err).To(MatchError(peer.ErrUnreachable))
+		var result callResult
+		Eventually(startCall(client, closed.Address(), testRequest{}, time.Hour), longTimeout).Should(Receive(&result))
+		Expect(result.err).To(MatchError(peer.ErrUnreachable))
 	})
 
 	It("limits the queue and the pending calls to a peer that does not reply", func() {
@@ -168,18 +168,18 @@
 		config.QueueLength, config.MaxPendingCalls = 4, 8
 		server := startTransport(testConfig(), func(string, peer.Message, func(peer.Message, error)) {})
 		client := startTransport(config, nil)
-		ends := make(chan error, 100)
+		results := make(chan error, 100)
 		for range 100 {
-			client.Call(server.Address(), testRequest{}, time.Hour, func(_ peer.Message, err error) { ends <- err })
+			client.Call(server.Address(), testRequest{}, time.Hour, func(_ peer.Message, err error) { results <- err })
 		}
 		for range 100 - config.MaxPendingCalls {
-			Eventually(ends, longTimeout).Should(Receive(MatchError(peer.ErrUnreachable)))
+			Eventually(results, longTimeout).Should(Receive(MatchError(peer.ErrUnreachable)))
 		}
 		client.Close()
 		for range config.MaxPendingCalls {
-			Eventually(ends, longTimeout).Should(Receive(MatchError(peer.ErrUnreachable)))
+			Eventually(results, longTimeout).Should(Receive(MatchError(peer.ErrUnreachable)))
 		}
-		Consistently(ends, 0).ShouldNot(Receive())
+		Consistently(results, 0).ShouldNot(Receive())
 	})
 
 	It("closes an idle link and opens a new one when needed", func() {
