--- a/internal/peer/tcp/transport_test.go
+++ b/internal/peer/tcp/transport_test.go
@@ -61,9 +61,9 @@
 			number int
 			reply  func(peer.Message, error)
 		}
-		received := make(chan pendingReply, calls)
+		requests := make(chan pendingReply, calls)
 		server := startTransport(testConfig(), func(_ string, message peer.Message, reply func(peer.Message, error)) {
-			received <- pendingReply{message.(testRequest).Number, reply}
+			requests <- pendingReply{message.(testRequest).Number, reply}
 		})
 		client := startTransport(testConfig(), nil)
 		var results []<-chan callResult
@@ -72,7 +72,7 @@
 		}
 		var pending []pendingReply
 		for range calls {
-			pending = append(pending, <-received)
+			pending = append(pending, <-requests)
 		}
 		for i := len(pending) - 1; i >= 0; i-- {
 			go func() {
@@ -134,11 +134,11 @@
 	})
 
 	It("fails calls whose connection is lost, and reconnects", func() {
-		received := make(chan struct{}, 1)
-		first := startTransport(testConfig(), func(string, peer.Message, func(peer.Message, error)) { received <- struct{}{} })
+		requests := make(chan struct{}, 1)
+		first := startTransport(testConfig(), func(string, peer.Message, func(peer.Message, error)) { requests <- struct{}{} })
 		client := startTransport(testConfig(), nil)
 		result := startCall(client, first.Address(), testRequest{}, time.Hour)
-		Eventually(received, longTimeout).Should(Receive())
+		Eventually(requests, longTimeout).Should(Receive())
 		first.Close()
 		var lost callResult
 		Eventually(result, longTimeout).Should(Receive(&lost))
