--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -6,21 +6,22 @@
 	"github.com/hatchplank/hatchplank/internal/telemetry"
 )
 
-// gauge is a metric that is read when metrics are gathered.
+// gauge is a metric whose value is read when metrics are gathered. It is
+// registered as a counter if counter is set.
 type gauge struct {
-	name, meaning string
-	counter       bool
-	value         func() float64
+	name, help string
+	counter    bool
+	value      func() float64
 }
 
-// registerMetrics adds the metrics of the node's parts.
+// registerMetrics registers the metrics of the node's components.
 func registerMetrics(metrics *telemetry.Metrics, n *node.Node, transport *tcp.Transport) error {
 	for _, g := range gauges(n, transport) {
 		register := metrics.RegisterGauge
 		if g.counter {
 			register = metrics.RegisterCounter
 		}
-		if err := register(g.name, g.meaning, g.value); err != nil {
+		if err := register(g.name, g.help, g.value); err != nil {
 			return err
 		}
 	}
@@ -37,6 +38,6 @@
 		{"hatchplank_retries_total", "Attempts made again.", true, func() float64 { return float64(n.Gateway.Stats().Retried) }},
 		{"hatchplank_peer_sent_bytes_total", "Bytes sent to other nodes.", true, func() float64 { return float64(transport.Statistics().BytesSent) }},
 		{"hatchplank_peer_received_bytes_total", "Bytes received from other nodes.", true, func() float64 { return float64(transport.Statistics().BytesReceived) }},
-		{"hatchplank_peer_bad_connections_total", "Connections to the peer port closed for breaking the protocol.", true, func() float64 { return float64(transport.Statistics().BadPeers) }},
+		{"hatchplank_peer_bad_connections_total", "Connections to the peer port closed for breaking the protocol.", true, func() float64 { return float64(transport.Statistics().ProtocolViolations) }},
 	}
 }
