--- a/internal/notice/limits.go
+++ b/internal/notice/limits.go
@@ -19,8 +19,8 @@
 // longer than an older report of its limit can be in transit.
 const liftedLimitTTL = time.Minute
 
-// limitTable holds the limits of servers by ID, including lifted ones. The most recently
-// observed state wins, whichever node observed it.
+// limitTable holds the limits of servers by ID. It includes lifted limits: those that a server
+// no longer announces. The most recently observed state wins, whichever node observed it.
 type limitTable struct {
 	entries map[string]limitEntry
 	// version increases with each change.
@@ -66,7 +66,7 @@
 	case !limit.Named && !current.liftedBy(incarnation, call):
 		return false
 	case limit.Named && current.limit.Named && !incarnation.Follows(current.incarnation) && call.SentAt.Before(current.observedAt):
-		// The calls overlapped, so either response may be the older one.
+		// The calls overlapped, so either response may be the older one. The lower limit is kept.
 		limit.PerSecond = min(limit.PerSecond, current.limit.PerSecond)
 	}
 	return l.set(limitEntry{incarnation: incarnation, limit: limit, observedAt: now, local: true})
@@ -87,7 +87,7 @@
 // current one.
 func (l *limitTable) set(entry limitEntry) bool {
 	current, exists := l.entries[entry.incarnation.ID]
-	// A start time that only one of the two states does not make them different incarnations.
+	// If only one of the two has a start time, they may be the same incarnation.
 	sameIncarnation := !current.incarnation.Follows(entry.incarnation) && !entry.incarnation.Follows(current.incarnation)
 	if exists && current.limit == entry.limit && sameIncarnation {
 		current.observedAt = entry.observedAt
--- a/internal/notice/limits_test.go
+++ b/internal/notice/limits_test.go
@@ -13,7 +13,7 @@
 // startedRequest is a request that is sent now and that the server starts.
 func startedRequest() Call { return Call{Purpose: PurposeRequest, SentAt: time.Now(), Started: true} }
 
-// limitOf is a limit in requests a second.
+// limitOf returns a limit in requests a second.
 func limitOf(perSecond float64) Limit { return Limit{Named: true, PerSecond: perSecond} }
 
 func (f *fixture) announce(limit Limit, call Call) {
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -1,6 +1,6 @@
 // Package notice records what servers report about themselves in their responses: that they
 // are leaving, that this node must not send to them for a while, or how many requests they
-// accept from all nodes together. Notices are newer than the listed records of the servers.
+// accept from all nodes together. A notice is newer than the server's record in the store.
 package notice
 
 import (
@@ -26,7 +26,7 @@
 	// ignored.
 	Unreadable string
 	// Unknown are the names of notices that this build does not read. They are recorded so
-	// that a new kind of notice is noticed before it matters.
+	// that a new kind of notice is seen in logs and metrics before it matters.
 	Unknown string
 }
 
@@ -40,7 +40,7 @@
 // Purpose of something that is sent to a server.
 type Purpose string
 
-// The purposes: a client's request, an order of the holder of orders, and a call for the
+// The purposes: a client's request, an order to load or unload something, and a call for the
 // server's report.
 const (
 	PurposeRequest Purpose = "request"
@@ -118,8 +118,8 @@
 	// backoffs by server ID.
 	backoffs map[string]backoff
 	limits   limitTable
-	// limitChanges receives after a local change of a limit, which is to be reported to other
-	// nodes.
+	// limitChanges receives after this node observed a changed limit, so that the change is sent
+	// to other nodes.
 	limitChanges chan struct{}
 }
 
--- a/internal/ratelimit/counters.go
+++ b/internal/ratelimit/counters.go
@@ -8,10 +8,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Counters are the counter nodes: those that count limits for all nodes. The holder of orders
+// Counters are the counter nodes: those that count limits for all nodes. The order holder
 // chooses them. Counters are immutable.
 type Counters struct {
-	// Token of the holder's term and Version within the term tell which Counters are newer.
+	// Token of the holder's term, and Version within the term, order the choices: the higher is
+	// the newer.
 	Token   int64
 	Version uint64
 	// Addresses of the nodes.
--- a/internal/ratelimit/fallback.go
+++ b/internal/ratelimit/fallback.go
@@ -39,7 +39,7 @@
 	f.nodes = max(nodes, 1)
 }
 
-// take decides on a request. nearLimit: the limit was nearly reached.
+// take decides on a request; nearLimit is set if the limit was nearly reached.
 func (f *fallback) take(name string, limit Limit, cost float64, nearLimit bool, now time.Time) (allowed bool, retryAfter time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -20,8 +20,9 @@
 	Window time.Duration
 	// Paced limits spread the usage evenly and may grant a slot in the future; the usage is not
 	// summed over the window. At first nothing is available, since the limit may just have
-	// been set, and a node that reaches no counter node grants its first request only after
-	// its share of time: otherwise each of 985 nodes would grant one at once.
+	// been set. A node that reaches no counter node grants its first request only after the
+	// time in which its part of the rate yields one: otherwise each of 985 nodes would grant
+	// one at once.
 	Paced bool
 }
 
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -46,7 +46,7 @@
 	// Address of this node, as other nodes have it.
 	Address string
 	// InUse reports whether there are any limits; nil: always. While there are none, counter
-	// nodes do not probe each other, which takes 35 messages a second at each of eight.
+	// nodes do not probe each other: with eight of them, each would send 35 messages a second.
 	InUse  func() bool
 	Logger zerolog.Logger
 }
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -31,7 +31,7 @@
 	c.Transport.Call(address, message, timeout, done)
 }
 
-// fleet is the nodes of a test. inUse is whether anything is limited.
+// fleet is the nodes of a test. inUse reports whether anything is limited.
 type fleet struct {
 	*peers.Network
 	transports []*countingTransport
--- a/internal/ratelimit/meter.go
+++ b/internal/ratelimit/meter.go
@@ -50,8 +50,8 @@
 }
 
 // newMeter returns a full bucket if the node has run for a window, since nothing was taken from
-// it in that time. The bucket of a paced limit is empty: the limit may just have been set,
-// when the usage before was not limited.
+// it in that time. The bucket of a paced limit is empty: the limit may just have been set, and
+// the usage before it was not limited.
 func newMeter(limit Limit, running time.Duration, now time.Time) *meter {
 	m := &meter{window: limit.Window, counted: window.NewSum(limit.Window, now), level: bucketSize(limit), at: now}
 	switch {
--- a/internal/ratelimit/remote_counts.go
+++ b/internal/ratelimit/remote_counts.go
@@ -8,7 +8,8 @@
 
 // Count is the state of a limit at the node that counts it.
 type Count struct {
-	// Known is false in the zero Count, which has no information.
+	// Known is set in each count that a node made. It is false in the zero Count, which stands
+	// for a limit of which no count was received.
 	Known bool
 	// Level of the token bucket, and Used within the window, in the limit's unit.
 	Level, Used float64
--- a/internal/serverlimit/serverlimit.go
+++ b/internal/serverlimit/serverlimit.go
@@ -27,7 +27,7 @@
 	// minHorizonShare is the share of a window that the least urgent requests wait at most for
 	// their slot, which leaves earlier slots to more urgent requests that arrive later. With
 	// the same horizon for all, 1 of 42 urgent requests was served beside 14 times as many
-	// others at a server that accepts 2 a second; with this one, all 42 were (virtual time,
+	// others at a server that accepts 2 a second; with this share, all 42 were (virtual time,
 	// 30 s).
 	minHorizonShare = 0.1
 	// keyPrefix of the names of servers' limits. Names of tenants' limits have no prefix.
@@ -56,16 +56,16 @@
 	verdict    ratelimit.Verdict
 }
 
-// CountedFleetWide reports whether the grant was counted for all nodes, and not by this node
-// only.
+// CountedFleetWide reports whether a counter node counted the grant, for all nodes. If not,
+// this node decided without one, or the server has no limit.
 func (g Grant) CountedFleetWide() bool { return g.verdict.CountedBy != "" }
 
-// LimitSource returns the limits that servers have announced.
+// LimitSource has the limits that servers have announced.
 type LimitSource interface {
 	Limit(server *fleet.Server) notice.Limit
 }
 
-// Limiter counts over all nodes.
+// Limiter counts requests over all nodes, as ratelimit.Limiter does.
 type Limiter interface {
 	Take(ctx context.Context, request ratelimit.Request) ratelimit.Verdict
 	Return(request ratelimit.Request, verdict ratelimit.Verdict)
