--- a/internal/placement/input.go
+++ b/internal/placement/input.go
@@ -40,7 +40,8 @@
 type Server struct {
 	ID   string
 	Zone string
-	// Busy servers take no order now.
+	// Busy servers take no order now: one is in progress, the server asked for a backoff, or
+	// the handover period after an earlier holder's orders has not passed.
 	Busy bool
 	// FreeIn is the time until the server is expected to take the next order.
 	FreeIn time.Duration
@@ -104,8 +105,9 @@
 type Result struct {
 	// Actions are the orders to send now, at most one per server, most urgent first.
 	Actions []Action
-	// ReadyIn is, for each model that is being loaded or that requests wait for without a
-	// replica, the time until the first server is expected to hold it.
+	// ReadyIn is the time until the first server is expected to hold a model, if its load is
+	// not slowed by others. It has the models that are being loaded, for which memory is being
+	// freed, or that are in demand without a replica and can be placed.
 	ReadyIn map[string]time.Duration
 }
 
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -267,7 +267,7 @@
 		ordered[action.Server] = true
 		_, holds := target.Models[action.Model]
 		if holds != (action.Kind != placement.Load) {
-			t.Fatalf("%v: holds is %v", action, holds)
+			t.Fatalf("%v: wrong action, since whether the server holds the model is %v", action, holds)
 		}
 		if action.Kind == placement.Load && len(target.Models) > 1 {
 			t.Fatalf("%v: no free memory beside %v", action, target.Models)
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -193,7 +193,8 @@
 		have := p.ready[name] + p.pending[name]
 		cold := have == 0
 		if !cold {
-			// For a cold model, an order that was not answered is not relied upon.
+			// A cold model must not depend on an unanswered order, which may never be carried
+			// out.
 			have += p.unconfirmed[name]
 		}
 		if have < p.desired(name, demand) {
--- a/internal/tenants/fakes_test.go
+++ b/internal/tenants/fakes_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// setCounters sets the counter nodes at all nodes that are not cut off.
+// setCounters sets the counter nodes and the number of nodes at all nodes that are not cut off.
 func (f *testFleet) setCounters(counters ratelimit.Counters) {
 	for _, node := range f.nodes {
 		if !f.IsCut(node.address) {
