--- a/internal/inspect/inspect_test.go
+++ b/internal/inspect/inspect_test.go
@@ -36,16 +36,16 @@
 	}
 }
 
-func TestPageTellsWhatIsInForceAndWhereModelsAre(t *testing.T) {
+func TestPageShowsConfigurationAndReplicas(t *testing.T) {
 	RegisterTestingT(t)
 	answer := httptest.NewRecorder()
 	source(nil).ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/status", nil))
 	var page inspect.Page
 	Expect(json.Unmarshal(answer.Body.Bytes(), &page)).To(Succeed())
-	Expect(page.Version).To(BeEquivalentTo(7))
-	Expect(page.Revision).To(BeEquivalentTo(42))
+	Expect(page.ConfigurationVersion).To(BeEquivalentTo(7))
+	Expect(page.ConfigurationRevision).To(BeEquivalentTo(42))
 	Expect(page.Routes).To(Equal(1))
-	Expect(page.Holds).To(BeFalse())
+	Expect(page.IsHolder).To(BeFalse())
 	Expect(page.Servers).To(HaveLen(2))
 	Expect(page.Servers[0].ID).To(Equal("i-1"))
 	Expect(page.Servers[0].Draining).To(BeTrue())
@@ -53,11 +53,11 @@
 	Expect(page.Demand).To(Equal([]inspect.Demand{{Pool: "models", Model: "m", Waiting: 2}}))
 }
 
-func TestHolderTellsWhyAModelIsWhereItIs(t *testing.T) {
+func TestHoldersPageShowsWhyModelsWereLoaded(t *testing.T) {
 	RegisterTestingT(t)
 	now := time.Now()
 	page := source(inspect.Origins{"i-2": {"m": {Since: now.Add(-12 * time.Second), Reason: "cold"}}}).Page(now)
-	Expect(page.Holds).To(BeTrue())
+	Expect(page.IsHolder).To(BeTrue())
 	Expect(page.Servers[1].Replicas[0].Reason).To(Equal("cold"))
 	var text bytes.Buffer
 	Expect(page.Print(&text)).To(Succeed())
@@ -66,28 +66,28 @@
 	Expect(text.String()).To(MatchRegexp(`models +m +2 +0`))
 }
 
-func TestPageTellsOfRefusedRequests(t *testing.T) {
+func TestPageShowsPoisonRequests(t *testing.T) {
 	RegisterTestingT(t)
 	now := time.Now()
-	shown := source(nil)
+	withPoison := source(nil)
 	identity := poison.IdentityOf("", "POST", "h", "/x", nil)
-	shown.Poison = func() []poison.Entry {
+	withPoison.Poison = func() []poison.Entry {
 		return []poison.Entry{{Identity: identity, Times: 1, Servers: []string{"i-1", "i-2"}, Until: now.Add(9 * time.Minute)}}
 	}
 	var text bytes.Buffer
-	Expect(shown.Page(now).Print(&text)).To(Succeed())
+	Expect(withPoison.Page(now).Print(&text)).To(Succeed())
 	Expect(text.String()).To(MatchRegexp(identity.Text() + ` +1 +540s +i-1,i-2`))
 }
 
-func TestNodeWithoutConfigurationSaysSo(t *testing.T) {
+func TestPageOfANodeWithoutConfiguration(t *testing.T) {
 	RegisterTestingT(t)
-	empty := &inspect.Source{
+	unconfigured := &inspect.Source{
 		Node: "n", View: fleet.NewView(), Holder: func() string { return "" }, Relayed: func() bool { return false },
 		Origins: func() inspect.Origins { return nil }, Demand: func() []forward.Demand { return nil },
 		Poison: func() []poison.Entry { return nil },
 	}
 	var text bytes.Buffer
-	Expect(empty.Page(time.Now()).Print(&text)).To(Succeed())
+	Expect(unconfigured.Page(time.Now()).Print(&text)).To(Succeed())
 	Expect(text.String()).To(ContainSubstring("no configuration yet"))
 	Expect(text.String()).To(ContainSubstring("no node is known to order"))
 }
--- a/internal/inspect/print.go
+++ b/internal/inspect/print.go
@@ -7,13 +7,13 @@
 	"text/tabwriter"
 )
 
-// Print writes a page for a person.
+// Print writes the page as text.
 func (p Page) Print(output io.Writer) error {
 	fmt.Fprintf(output, "node %s in %s\n", p.Node, p.Zone)
-	if p.Revision == 0 {
+	if p.ConfigurationRevision == 0 {
 		fmt.Fprintln(output, "no configuration yet")
 	} else {
-		fmt.Fprintf(output, "configuration %d of revision %d, %d routes\n", p.Version, p.Revision, p.Routes)
+		fmt.Fprintf(output, "configuration %d of revision %d, %d routes\n", p.ConfigurationVersion, p.ConfigurationRevision, p.Routes)
 	}
 	fmt.Fprintln(output, p.holderLine())
 	writer := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
@@ -43,22 +43,23 @@
 	if len(p.Poison) == 0 {
 		return
 	}
-	fmt.Fprintln(output, "\nREFUSED REQUEST\tTIMES\tSTILL FOR\tSERVERS THAT ENDED")
-	for _, refused := range p.Poison {
-		fmt.Fprintf(output, "%s\t%d\t%.0fs\t%s\n", refused.Identity, refused.Times, refused.Seconds, strings.Join(refused.Servers, ","))
+	fmt.Fprintln(output, "\nPOISON REQUEST\tQUARANTINES\tREMAINING\tCRASHED SERVERS")
+	for _, entry := range p.Poison {
+		fmt.Fprintf(output, "%s\t%d\t%.0fs\t%s\n", entry.Identity, entry.Quarantines, entry.RemainingSeconds, strings.Join(entry.Servers, ","))
 	}
 }
 
+// holderLine describes which node is the order holder.
 func (p Page) holderLine() string {
 	switch {
-	case p.Holds:
+	case p.IsHolder:
 		return "this node orders the model servers"
 	case p.Holder == "":
 		return "no node is known to order the model servers"
 	case p.Relayed:
-		return p.Holder + " orders the model servers, and tells this node what the store holds; it knows why models are where they are"
+		return p.Holder + " orders the model servers, and relays the store's state to this node; its own page shows why models were loaded"
 	}
-	return p.Holder + " orders the model servers, and knows why models are where they are; this node reads the store itself"
+	return p.Holder + " orders the model servers, and its own page shows why models were loaded; this node reads the store itself"
 }
 
 func (s Server) print(output io.Writer) {
@@ -72,10 +73,10 @@
 		return
 	}
 	for _, replica := range s.Replicas {
-		lasting := ""
-		if replica.Seconds > 0 {
-			lasting = fmt.Sprintf("%.0fs", replica.Seconds)
+		age := ""
+		if replica.AgeSeconds > 0 {
+			age = fmt.Sprintf("%.0fs", replica.AgeSeconds)
 		}
-		fmt.Fprintf(output, "%s\t%s\t%s\t%s\t%s\n", line, replica.Model, strings.Join(replica.Adapters, ","), lasting, replica.Reason)
+		fmt.Fprintf(output, "%s\t%s\t%s\t%s\t%s\n", line, replica.Model, strings.Join(replica.Adapters, ","), age, replica.Reason)
 	}
 }
