--- a/internal/placement/load_ahead.go
+++ b/internal/placement/load_ahead.go
@@ -17,8 +17,8 @@
 	maxLoadAheadShare = 1.0 / 8
 	// minFreeServersPerModel is how many servers must have free memory for each model that no
 	// server holds. With fewer, most models loaded ahead are never requested and take the
-	// memory of those that are: it cost a day of the users' bench, on 13 servers without
-	// memory for all models, 0.10 of its score.
+	// memory of those that are: a day of 13 servers without capacity for all models lost
+	// 0.10 of its worth by it.
 	minFreeServersPerModel = 2
 )
 
