--- a/internal/api/nodestatus/health.go
+++ b/internal/api/nodestatus/health.go
@@ -87,7 +87,7 @@
 // KeepAlive implements outside.KeyValueService.
 func (o observedKeyValues) KeepAlive(lease outside.LeaseID, timeout time.Duration, done func(error)) {
 	o.KeyValueService.KeepAlive(lease, timeout, func(err error) {
-		if errors.Is(err, outside.ErrLeaseGone) {
+		if errors.Is(err, outside.ErrLeaseNotFound) {
 			// The service answered: the lease has expired or was revoked.
 			o.observer.Observe(nil)
 		} else {
--- a/internal/api/nodestatus/nodestatus_test.go
+++ b/internal/api/nodestatus/nodestatus_test.go
@@ -171,7 +171,7 @@
 		Expect(errors.Is(got, outside.ErrAmbiguous)).To(BeTrue())
 		Expect(health().Services[0].Healthy).To(BeFalse())
 		Expect(health().Services[0].LastSuccess).To(Equal(simulation.Epoch))
-		service.err = outside.ErrLeaseGone
+		service.err = outside.ErrLeaseNotFound
 		observed.KeepAlive(1, time.Second, func(error) {})
 		Expect(health().Services[0].Healthy).To(BeTrue())
 	})
--- a/internal/membership/lease_holder.go
+++ b/internal/membership/lease_holder.go
@@ -202,7 +202,7 @@
 // completeCall ends a grant or a write. After a success the next call is made at
 // once, after an error following a backoff.
 func (h *leaseHolder) completeCall(err error, onSuccess func()) {
-	h.reportReachable(err == nil || errors.Is(err, outside.ErrLeaseGone))
+	h.reportReachable(err == nil || errors.Is(err, outside.ErrLeaseNotFound))
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.busy = false
@@ -212,7 +212,7 @@
 		h.reconcileLocked()
 		return
 	}
-	if errors.Is(err, outside.ErrLeaseGone) {
+	if errors.Is(err, outside.ErrLeaseNotFound) {
 		h.lease = 0
 	}
 	h.reconcileLaterLocked()
@@ -259,7 +259,7 @@
 }
 
 func (h *leaseHolder) handleKeepAliveReply(lease outside.LeaseID, err error) {
-	expired := errors.Is(err, outside.ErrLeaseGone)
+	expired := errors.Is(err, outside.ErrLeaseNotFound)
 	h.reportReachable(err == nil || expired)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/orders/renewal.go
+++ b/internal/orders/renewal.go
@@ -29,7 +29,7 @@
 		switch {
 		case err == nil && !e.restoredSince(term):
 			term.renew(sent.Add(e.config.Lease - leaseMargin))
-		case errors.Is(err, outside.ErrLeaseGone):
+		case errors.Is(err, outside.ErrLeaseNotFound):
 			e.config.Logger.Warn().Int64("token", term.Token).Msg("lease lost")
 			e.endTerm(term)
 			return
--- a/internal/outside/contract/keyvalue_bindings_test.go
+++ b/internal/outside/contract/keyvalue_bindings_test.go
@@ -56,10 +56,10 @@
 	store := newStore(manual)
 	server := httptest.NewServer(keyvalue.NewServer(store, zerolog.Nop()))
 	client, err := etcd.New(etcd.Config{
-		Endpoints:    []string{server.URL},
-		HTTPClient:   &http.Client{Transport: &http.Transport{}},
-		Logger:       zerolog.Nop(),
-		WatchSilence: longTimeout,
+		Endpoints:        []string{server.URL},
+		HTTPClient:       &http.Client{Transport: &http.Transport{}},
+		Logger:           zerolog.Nop(),
+		WatchIdleTimeout: longTimeout,
 	})
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(server.Close)
--- a/internal/outside/contract/keyvalue_test.go
+++ b/internal/outside/contract/keyvalue_test.go
@@ -147,7 +147,7 @@
 		Expect(h.read("").KeyValues).To(HaveLen(1))
 		h.advance(time.Second)
 		Expect(h.read("").KeyValues).To(BeEmpty())
-		Expect(h.keepAlive(lease)).To(MatchError(outside.ErrLeaseGone))
+		Expect(h.keepAlive(lease)).To(MatchError(outside.ErrLeaseNotFound))
 	})
 
 	It("keeps a lease that is kept alive", func() {
@@ -158,7 +158,7 @@
 		h.advance(timeToLive - time.Second)
 		Expect(h.keepAlive(lease)).To(Succeed())
 		h.advance(timeToLive)
-		Expect(h.keepAlive(lease)).To(MatchError(outside.ErrLeaseGone))
+		Expect(h.keepAlive(lease)).To(MatchError(outside.ErrLeaseNotFound))
 	})
 
 	It("keeps a key whose last write has another lease", func() {
@@ -178,9 +178,9 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(h.revoke(lease)).To(Succeed())
 		Expect(h.read("").KeyValues).To(BeEmpty())
-		Expect(h.revoke(lease)).To(MatchError(outside.ErrLeaseGone))
+		Expect(h.revoke(lease)).To(MatchError(outside.ErrLeaseNotFound))
 		_, err = h.transact(longTimeout, putting("late", "value", lease))
-		Expect(err).To(And(MatchError(outside.ErrLeaseGone), MatchError(outside.ErrNotApplied)))
+		Expect(err).To(And(MatchError(outside.ErrLeaseNotFound), MatchError(outside.ErrNotApplied)))
 		Expect(h.read("").KeyValues).To(BeEmpty())
 	})
 }
--- a/internal/outside/etcd/classify_test.go
+++ b/internal/outside/etcd/classify_test.go
@@ -72,9 +72,9 @@
 			err := awaitError(func(done func(error)) { client.KeepAlive(5, longTimeout, done) })
 			Expect(err).To(MatchError(expected))
 		},
-		Entry("not found", answering(http.StatusNotFound, `{"code":5,"message":"etcdserver: requested lease not found"}`), outside.ErrLeaseGone),
-		Entry("no time left", answering(http.StatusOK, `{"result":{"ID":"5"}}`), outside.ErrLeaseGone),
-		Entry("error in the stream", answering(http.StatusOK, `{"error":{"code":5,"message":"etcdserver: requested lease not found"}}`), outside.ErrLeaseGone),
+		Entry("not found", answering(http.StatusNotFound, `{"code":5,"message":"etcdserver: requested lease not found"}`), outside.ErrLeaseNotFound),
+		Entry("no time left", answering(http.StatusOK, `{"result":{"ID":"5"}}`), outside.ErrLeaseNotFound),
+		Entry("error in the stream", answering(http.StatusOK, `{"error":{"code":5,"message":"etcdserver: requested lease not found"}}`), outside.ErrLeaseNotFound),
 		Entry("other error in the stream", answering(http.StatusOK, `{"error":{"code":14}}`), outside.ErrAmbiguous),
 		Entry("empty", answering(http.StatusOK, `{}`), outside.ErrAmbiguous),
 		Entry("path not found", answering(http.StatusNotFound, ""), outside.ErrNotApplied),
--- a/internal/outside/etcd/config.go
+++ b/internal/outside/etcd/config.go
@@ -20,8 +20,8 @@
 const (
 	// DefaultMaxResponseBytes bounds a response, and one message of a watch.
 	DefaultMaxResponseBytes = 16 << 20
-	// DefaultWatchSilence is the longest time without a message of a watch.
-	DefaultWatchSilence = 5 * time.Second
+	// DefaultWatchIdleTimeout is the longest time without a message of a watch.
+	DefaultWatchIdleTimeout = 5 * time.Second
 	// defaultIdleConnections kept to one endpoint.
 	defaultIdleConnections = 32
 )
@@ -38,10 +38,10 @@
 	Logger zerolog.Logger
 	// MaxResponseBytes bounds a response. Zero: DefaultMaxResponseBytes.
 	MaxResponseBytes int64
-	// WatchSilence ends a watch that brought no message for so long. The
+	// WatchIdleTimeout ends a watch that brought no message for so long. The
 	// service must send progress notifications more often. Zero:
-	// DefaultWatchSilence.
-	WatchSilence time.Duration
+	// DefaultWatchIdleTimeout.
+	WatchIdleTimeout time.Duration
 }
 
 // Client is a binding of outside.KeyValueService. It is safe for concurrent
@@ -78,8 +78,8 @@
 	if config.MaxResponseBytes == 0 {
 		config.MaxResponseBytes = DefaultMaxResponseBytes
 	}
-	if config.WatchSilence == 0 {
-		config.WatchSilence = DefaultWatchSilence
+	if config.WatchIdleTimeout == 0 {
+		config.WatchIdleTimeout = DefaultWatchIdleTimeout
 	}
 	client := &Client{config: config, httpClient: httpClient, endpoints: endpoints, rollbacks: rollbackDetector{logger: config.Logger}}
 	client.context, client.cancel = context.WithCancel(context.Background())
--- a/internal/outside/etcd/etcd_suite_test.go
+++ b/internal/outside/etcd/etcd_suite_test.go
@@ -36,7 +36,7 @@
 		Endpoints:        endpoints,
 		Logger:           zerolog.Nop(),
 		MaxResponseBytes: maxResponseBytes,
-		WatchSilence:     50 * time.Millisecond,
+		WatchIdleTimeout: 50 * time.Millisecond,
 	})
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(client.Close)
--- a/internal/outside/etcd/service.go
+++ b/internal/outside/etcd/service.go
@@ -71,13 +71,13 @@
 func checkKeepAlive(response wire.StreamMessage[wire.LeaseResponse]) error {
 	switch {
 	case response.Error != nil && isLeaseNotFound(*response.Error):
-		return fmt.Errorf("%w: %w", outside.ErrNotApplied, outside.ErrLeaseGone)
+		return fmt.Errorf("%w: %w", outside.ErrNotApplied, outside.ErrLeaseNotFound)
 	case response.Error != nil:
 		return fmt.Errorf("%w: %s", outside.ErrAmbiguous, response.Error.Message)
 	case response.Result == nil:
 		return fmt.Errorf("%w: empty response", outside.ErrAmbiguous)
 	case response.Result.TimeToLive <= 0:
-		return fmt.Errorf("%w: %w", outside.ErrNotApplied, outside.ErrLeaseGone)
+		return fmt.Errorf("%w: %w", outside.ErrNotApplied, outside.ErrLeaseNotFound)
 	default:
 		return nil
 	}
--- a/internal/outside/etcd/status.go
+++ b/internal/outside/etcd/status.go
@@ -28,7 +28,7 @@
 // Is implements the match of errors.Is.
 func (e *statusError) Is(target error) bool {
 	switch target {
-	case outside.ErrLeaseGone:
+	case outside.ErrLeaseNotFound:
 		return isLeaseNotFound(e.body)
 	case errServiceFailed:
 		return true
--- a/internal/outside/etcd/watch.go
+++ b/internal/outside/etcd/watch.go
@@ -60,7 +60,7 @@
 
 // run reads the watch to its end and tells the handler, unless stopped.
 func (w *watch) run(ctx context.Context, cancel context.CancelFunc, prefix string) {
-	silence := w.client.config.WatchSilence
+	silence := w.client.config.WatchIdleTimeout
 	silent := time.AfterFunc(silence, cancel)
 	defer silent.Stop()
 	heard := func() { silent.Reset(silence) }
--- a/internal/outside/keyvalue.go
+++ b/internal/outside/keyvalue.go
@@ -89,8 +89,8 @@
 	ErrNotApplied = errors.New("key-value operation not applied")
 	// ErrAmbiguous: the operation may or may not have taken effect.
 	ErrAmbiguous = errors.New("key-value operation outcome unknown")
-	// ErrLeaseGone: the lease has lapsed or was revoked.
-	ErrLeaseGone = errors.New("lease gone")
+	// ErrLeaseNotFound: the lease has lapsed or was revoked.
+	ErrLeaseNotFound = errors.New("lease gone")
 	// ErrCompacted: the revision asked for is no longer kept.
 	ErrCompacted = errors.New("revision compacted")
 )
--- a/internal/standin/keyvalue/errors.go
+++ b/internal/standin/keyvalue/errors.go
@@ -22,8 +22,8 @@
 	errBadTimeToLive     = refusal("lease time to live must be positive")
 )
 
-// errLeaseNotFound matches outside.ErrLeaseGone and outside.ErrNotApplied.
-var errLeaseNotFound = fmt.Errorf("%w: %w: requested lease not found", outside.ErrNotApplied, outside.ErrLeaseGone)
+// errLeaseNotFound matches outside.ErrLeaseNotFound and outside.ErrNotApplied.
+var errLeaseNotFound = fmt.Errorf("%w: %w: requested lease not found", outside.ErrNotApplied, outside.ErrLeaseNotFound)
 
 // ErrReplyLost tells a front end to give no reply to an operation that took
 // effect. It never reaches a client.
--- a/internal/standin/keyvalue/server.go
+++ b/internal/standin/keyvalue/server.go
@@ -98,7 +98,7 @@
 		writeStatus(w, http.StatusServiceUnavailable, wire.Error{Code: wire.CodeUnavailable, Message: messagePrefix + "server stopped"})
 	case errors.Is(err, ErrRateLimited):
 		writeStatus(w, http.StatusTooManyRequests, wire.Error{Code: wire.CodeResourceExhausted, Message: messagePrefix + "too many requests"})
-	case errors.Is(err, outside.ErrLeaseGone):
+	case errors.Is(err, outside.ErrLeaseNotFound):
 		writeStatus(w, http.StatusNotFound, wire.Error{Code: wire.CodeNotFound, Message: messagePrefix + "requested lease not found"})
 	default:
 		writeStatus(w, http.StatusBadRequest, wire.Error{Code: wire.CodeInvalidArgument, Message: messagePrefix + err.Error()})
--- a/internal/standin/keyvalue/server_calls.go
+++ b/internal/standin/keyvalue/server_calls.go
@@ -73,7 +73,7 @@
 	id := outside.LeaseID(request.ID)
 	run := func() (time.Duration, error) {
 		timeToLive, err := s.store.KeepAlive(id)
-		if errors.Is(err, outside.ErrLeaseGone) {
+		if errors.Is(err, outside.ErrLeaseNotFound) {
 			return 0, nil
 		}
 		return timeToLive, err
