--- a/internal/outside/await.go
+++ b/internal/outside/await.go
@@ -1,7 +1,7 @@
 package outside
 
-// Await makes a call and waits for its callback. It is for code that may block;
-// decision code passes callbacks on.
+// Await makes an asynchronous call and blocks until its callback. Code that must not block,
+// such as code on an event loop, passes callbacks instead.
 func Await[Result any](call func(done func(Result, error))) (Result, error) {
 	type reply struct {
 		result Result
@@ -13,7 +13,7 @@
 	return got.result, got.err
 }
 
-// AwaitError is Await for calls that bring nothing but an error.
+// AwaitError is Await for calls whose callback takes only an error.
 func AwaitError(call func(done func(error))) error {
 	_, err := Await(func(done func(struct{}, error)) {
 		call(func(err error) { done(struct{}{}, err) })
--- a/internal/outside/engine.go
+++ b/internal/outside/engine.go
@@ -10,7 +10,7 @@
 // SlotID numbers the replicas of one model, from 0 to the row's maximum - 1.
 type SlotID int
 
-// ReplicaPhase is how far a replica on an engine has come.
+// ReplicaPhase is the phase of a replica's life cycle on an engine.
 type ReplicaPhase uint8
 
 // The phases of a replica.
@@ -18,16 +18,16 @@
 	ReplicaLoading ReplicaPhase = iota
 	ReplicaReady
 	ReplicaUnloading
-	// ReplicaFailed: the load ended in failure; memory is free again.
+	// ReplicaFailed means that the load failed and its memory was released.
 	ReplicaFailed
 )
 
-// String returns the phase's word.
+// String returns the phase's name.
 func (p ReplicaPhase) String() string {
 	return [...]string{"loading", "ready", "unloading", "failed"}[p]
 }
 
-// CheckpointSource is where an engine takes weights from.
+// CheckpointSource is the storage tier from which an engine loads weights.
 type CheckpointSource uint8
 
 // The sources, from fastest to slowest.
@@ -37,12 +37,12 @@
 	SourceRemote
 )
 
-// String returns the source's word.
+// String returns the source's name.
 func (s CheckpointSource) String() string {
 	return [...]string{"memory", "disk", "remote"}[s]
 }
 
-// CommandKind is what a Command asks of an engine.
+// CommandKind is the operation that a Command requests from an engine.
 type CommandKind uint8
 
 // The kinds of command.
@@ -54,7 +54,7 @@
 	CommandSetRole
 )
 
-// String returns the command's word.
+// String returns the command's name.
 func (k CommandKind) String() string {
 	return [...]string{"load_model", "unload_model", "load_adapter", "unload_adapter", "set_role"}[k]
 }
@@ -62,53 +62,54 @@
 // Command is one instruction inside an Order.
 type Command struct {
 	Kind CommandKind
-	// Model names the base model the command is about.
+	// Model is the name of the command's base model.
 	Model   string
 	Version string
-	// Adapter names the adapter, for adapter commands.
+	// Adapter is the adapter's name, for adapter commands.
 	Adapter string
 	Slot    SlotID
-	// Attempt identifies this load. An unload names the attempt it ends, so
-	// that a late unload never ends a newer load.
+	// Attempt identifies this load. An unload carries the attempt of the load that it
+	// undoes, so that a delayed unload never affects a newer load.
 	Attempt AttemptID
-	// MemoryBytes to be reserved by the engine: weights and KV-cache floor.
+	// MemoryBytes is the memory that the engine reserves: weights and minimum KV cache.
 	MemoryBytes int64
-	// WeightBytes to be fetched.
+	// WeightBytes is the size of the weights to fetch.
 	WeightBytes int64
 	// Role for CommandSetRole: "mixed", "prefill" or "decode".
 	Role string
 }
 
-// Order is a fenced batch of commands to one engine, applied in order. An
+// Order is a batch of commands to one engine with a fencing token, applied in order. An
 // order without commands only raises the fence and reads the state.
 type Order struct {
 	Server ServerID
 	Fence  Fence
-	// Incarnation the order is meant for; empty matches any (used to adopt).
+	// Incarnation is the incarnation addressed by the order; empty matches any, which is used
+	// to adopt an engine.
 	Incarnation Incarnation
 	Commands    []Command
 }
 
-// CommandOutcome is an engine's answer to one command.
+// CommandOutcome is an engine's response to one command.
 type CommandOutcome struct {
 	Accepted bool
-	// Reason is a word when not accepted, e.g. "no_memory", "no_such_attempt".
+	// Reason is a code such as "no_memory" or "no_such_attempt" when not accepted.
 	Reason string
 }
 
-// OrderResult is an engine's answer to an order.
+// OrderResult is an engine's response to an order.
 type OrderResult struct {
-	// Accepted is false when the fence was too low or the incarnation another;
-	// then no command was applied.
+	// Accepted is false, and no command was applied, if the fence was stale or the
+	// incarnation did not match.
 	Accepted bool
 	// Reason is "stale_fence" or "other_incarnation" when not accepted.
 	Reason   string
 	Outcomes []CommandOutcome
-	// State after the commands, read at the same moment.
+	// State is the engine's state after the commands, read atomically with them.
 	State EngineState
 }
 
-// AdapterState is an adapter loaded on a replica.
+// AdapterState is the state of an adapter on a replica.
 type AdapterState struct {
 	Adapter     string
 	Version     string
@@ -117,7 +118,7 @@
 	MemoryBytes int64
 }
 
-// ReplicaState is a replica held by an engine.
+// ReplicaState is the state of a replica on an engine.
 type ReplicaState struct {
 	Model       string
 	Version     string
@@ -126,9 +127,9 @@
 	Phase       ReplicaPhase
 	MemoryBytes int64
 	Source      CheckpointSource
-	// Progress of a load from 0 to 1.
+	// Progress is the completed fraction of a load, from 0 to 1.
 	Progress float64
-	// Running and Queued requests on this replica.
+	// Running and Queued are the numbers of requests on this replica.
 	Running, Queued int
 	Adapters        []AdapterState
 }
@@ -140,69 +141,71 @@
 	Source  CheckpointSource
 }
 
-// EngineState is what an engine reports of itself.
+// EngineState is an engine's report of its state.
 type EngineState struct {
 	Server      ServerID
 	Incarnation Incarnation
-	// Fence is the highest the engine has seen.
+	// Fence is the highest fence that the engine has received.
 	Fence Fence
-	// Version grows with every change of replicas, checkpoints or leaving.
+	// Version increases with every change of Replicas, Cached or Leaving.
 	Version uint64
-	// Accelerators on the machine.
+	// Accelerators is the number of accelerators on the machine.
 	Accelerators int
 	MemoryBytes  int64
-	// UsedBytes are reserved by replicas in any phase but failed.
+	// UsedBytes is the memory reserved by replicas in any phase but ReplicaFailed.
 	UsedBytes int64
 	Replicas  []ReplicaState
 	Cached    []CheckpointState
-	// MaxBatch is how many requests run at once on one replica.
+	// MaxBatch is the number of requests that run concurrently on one replica.
 	MaxBatch int
 	Role     string
 	Leaving  bool
-	// MeasuredAt is the engine's time of the load figures, which lag.
+	// MeasuredAt is the time, by the engine's clock, at which the load figures were taken;
+	// they lag behind the other fields.
 	MeasuredAt time.Time
 }
 
-// GenerateRequest is one attempt at a generation.
+// GenerateRequest is the request of one generation attempt.
 type GenerateRequest struct {
 	Server    ServerID
 	Attempt   AttemptID
 	RequestID string
-	// Model is the base model; Adapter may be empty.
+	// Model is the name of the base model; Adapter may be empty.
 	Model   string
 	Adapter string
 	Version string
-	// Path is the OpenAI path, e.g. "/v1/chat/completions".
+	// Path is the path of the OpenAI API, such as "/v1/chat/completions".
 	Path string
-	// Body is the caller's JSON body.
+	// Body is the client's JSON body.
 	Body     []byte
 	Priority int
 	Deadline time.Time
 	// Key is the idempotency key, if any.
 	Key string
-	// ResumeFrom is the count of chunks already received of this request's
-	// stream; the engine continues with the next.
+	// ResumeFrom is the number of chunks of the request's stream that were received
+	// already; the engine continues with the next chunk.
 	ResumeFrom int
 }
 
 // Chunk is a piece of a generated stream.
 type Chunk struct {
 	Attempt AttemptID
-	// Index counts the chunks of the request's stream from 0, over resumptions.
+	// Index is the chunk's position in the request's stream, from 0, counted across
+	// resumptions.
 	Index  int
 	Text   string
 	Tokens int
 }
 
-// Usage counts a generation's tokens.
+// Usage is the number of tokens of a generation.
 type Usage struct {
 	PromptTokens     int
 	CompletionTokens int
-	// CachedTokens of the prompt were found in the prefix cache.
+	// CachedTokens is the number of prompt tokens found in the prefix cache.
 	CachedTokens int
 }
 
-// GenerateEnd is the end of a complete stream.
+// GenerateEnd describes the end of a complete stream.
 type GenerateEnd struct {
 	Attempt AttemptID
 	// Chunks is the total number of chunks in the request's stream.
@@ -212,54 +215,54 @@
 	Load         LoadHint
 }
 
-// LoadHint is the load that a server tells with an answer.
+// LoadHint is the load that a server reports with a response.
 type LoadHint struct {
 	Running, Queued int
 	Leaving         bool
 }
 
-// AttemptError is the failure of one attempt at a back end.
+// AttemptError is the failure of one attempt at a back-end server.
 type AttemptError struct {
 	Attempt AttemptID
-	// Ran is RanNo only when proved: never sent, or refused by the back end.
+	// Ran is RanNo only if the request was never sent or the server refused it.
 	Ran result.Ran
-	// Reason is a word: "refused", "not_loaded", "busy", "leaving",
+	// Reason is one of "refused", "not_loaded", "busy", "leaving",
 	// "connection", "timeout", "truncated", "failed", "cancelled".
 	Reason string
 	Load   LoadHint
 }
 
-// Error makes an AttemptError an error.
+// Error implements error.
 func (e *AttemptError) Error() string {
 	return "attempt " + string(e.Attempt) + ": " + e.Reason + " (ran: " + e.Ran.String() + ")"
 }
 
-// GenerateSink receives one attempt's stream: any number of Chunk calls, then
-// exactly one End or Failed. Calls are in order and never overlap.
+// GenerateSink receives the stream of one attempt: any number of Chunk calls, then exactly
+// one call of End or Failed. Calls are sequential and never overlap.
 type GenerateSink interface {
 	Chunk(chunk Chunk)
 	End(end GenerateEnd)
 	Failed(err *AttemptError)
 }
 
-// ErrServerUnreachable means that a server did not answer; whether it acted is
-// unknown.
+// ErrServerUnreachable means that no valid response was received from a server. Whether the
+// server processed the request is unknown.
 var ErrServerUnreachable = errors.New("server unreachable")
 
-// EngineService reaches the model engines.
+// EngineService is the interface to the model engines.
 type EngineService interface {
-	// Order sends a fenced order. On error the order may have been applied, or
-	// may yet be applied unless a higher fence is seen first.
+	// Order sends an order. After an error the order may have been applied, or may still be
+	// applied later unless the engine receives a higher fence first.
 	Order(order Order, timeout time.Duration, done func(OrderResult, error))
-	// State reads an engine's state; sinceVersion lets the engine answer
-	// unchanged (nil state) when nothing but load changed.
+	// State reads an engine's state. The state is nil if nothing but load changed since
+	// sinceVersion.
 	State(server ServerID, sinceVersion uint64, timeout time.Duration, done func(*EngineState, error))
-	// Generate starts an attempt. The sink is called as a done callback is.
-	// After cancel the sink still gets its End or Failed.
+	// Generate starts an attempt. The rules of done callbacks apply to the calls of the
+	// sink. After cancel the sink still receives End or Failed.
 	Generate(request GenerateRequest, sink GenerateSink) (cancel func())
 }
 
-// BackEndRequest is one attempt at a back end that is no engine.
+// BackEndRequest is the request of one attempt at a back-end server that is not an engine.
 type BackEndRequest struct {
 	Server    ServerID
 	Attempt   AttemptID
@@ -267,13 +270,13 @@
 	Key       string
 	Method    string
 	Path      string
-	// ContentType of the body.
+	// ContentType is the media type of the body.
 	ContentType string
 	Body        []byte
 	Deadline    time.Time
 }
 
-// BackEndResponse is a complete answer.
+// BackEndResponse is a complete response.
 type BackEndResponse struct {
 	Attempt     AttemptID
 	Status      int
@@ -282,7 +285,7 @@
 	Load        LoadHint
 }
 
-// BackEndService reaches servers such as enrolment or sync servers.
+// BackEndService is the interface to back-end servers such as enrolment or sync servers.
 type BackEndService interface {
 	// Call runs one attempt. The error is an *AttemptError.
 	Call(request BackEndRequest, done func(BackEndResponse, error))
--- a/internal/outside/identity.go
+++ b/internal/outside/identity.go
@@ -1,30 +1,27 @@
-// Package outside defines the interfaces to the systems hatchplank stands
-// between: key-value service, model engines, other back-end servers, weight
-// store and machine list.
+// Package outside defines the interfaces to the external systems that hatchplank uses:
+// key-value service, model engines, other back-end servers, weight store and machine list.
 //
-// All calls are asynchronous. Contract for every callback named done: it is
-// called exactly once, never before the call returned, and not while the
-// caller is on the stack; bindings call it on a goroutine of their own, the
-// emulator calls it from its event loop. A call that outlives its timeout ends
-// with an error.
+// All calls are asynchronous. Every callback named done is called exactly once, never before
+// the call has returned and never from the caller's stack: clients call it on a separate
+// goroutine, the emulator calls it from its event loop. A call that exceeds its timeout
+// completes with an error.
 package outside
 
 import "fmt"
 
-// ServerID names one back-end server (engine or other) for its lifetime.
+// ServerID identifies one back-end server (engine or other) for its lifetime.
 type ServerID string
 
-// Incarnation tells one start of a server's process from the next. It is
-// never reused by the same server.
+// Incarnation identifies one run of a server's process, from start to exit. A server never
+// reuses one.
 type Incarnation string
 
-// AttemptID identifies one attempt of one request, or one order, for ever.
+// AttemptID identifies one attempt of one request, or one order. It is never reused.
 type AttemptID string
 
-// Fence orders the commands given to one engine. The epoch comes from a
-// compare-and-swap in the key-value service; the sequence is counted by the
-// epoch's holder. An engine refuses every order that is not above the highest
-// fence it has seen.
+// Fence is the fencing token of the orders to one engine. The epoch is obtained by a
+// compare-and-swap in the key-value service; the holder of the epoch increments the sequence.
+// An engine refuses each order whose fence is not above the highest that it has received.
 type Fence struct {
 	Epoch    uint64
 	Sequence uint64
--- a/internal/outside/machine.go
+++ b/internal/outside/machine.go
@@ -2,60 +2,59 @@
 
 import "time"
 
-// MachinePhase is a machine's state in the machine list.
+// MachinePhase is the phase of a machine in the machine list.
 type MachinePhase string
 
-// The phases of a machine. A machine that is gone is not listed.
+// The phases of a machine. A machine that has been reclaimed is not listed.
 const (
 	MachineLive    MachinePhase = "live"
 	MachineLeaving MachinePhase = "leaving"
 )
 
-// Machine is one back-end machine as the platform lists it.
+// Machine is the machine list's entry for one back-end machine.
 type Machine struct {
 	Server  ServerID
 	Address string
-	// Pool names the kind of server, e.g. "glossa".
+	// Pool is the name of the pool of servers of one kind, such as "glossa".
 	Pool   string
 	Zone   string
 	Region string
 	Phase  MachinePhase
-	// LeavesAt is when a leaving machine will be reclaimed; zero if not known.
+	// LeavesAt is the time at which a leaving machine is reclaimed; zero if unknown.
 	LeavesAt time.Time
-	// Engine says whether the server is a model engine.
+	// Engine reports whether the server is a model engine.
 	Engine bool
 }
 
-// MachineListing is one reading of the machine list.
+// MachineListing is a snapshot of the machine list.
 type MachineListing struct {
-	// Version grows with every change of the list.
+	// Version increases with every change of the list.
 	Version uint64
-	// Machines in order of server.
+	// Machines are sorted by server.
 	Machines []Machine
 }
 
-// MachineListService is the platform's list of machines. It lags: a machine
-// may be listed after it is gone, but never absent while it lives.
+// MachineListService is the interface to the platform's list of machines. The list lags: a
+// machine may still be listed after it was reclaimed, but is never missing while it runs.
 type MachineListService interface {
-	// List reads the list; with sinceVersion equal to the current version the
-	// listing is nil.
+	// List reads the list. The listing is nil if sinceVersion is the current version.
 	List(sinceVersion uint64, timeout time.Duration, done func(*MachineListing, error))
 }
 
 // WeightStoreStatus is the load on the weight store.
 type WeightStoreStatus struct {
-	// Active loads now.
+	// Active is the number of loads in progress.
 	Active int
-	// FullSpeedLoads is how many loads at once run at full speed.
+	// FullSpeedLoads is the number of concurrent loads that run at full speed.
 	FullSpeedLoads int
-	// LoadsPerSecond may be started.
+	// LoadsPerSecond is the maximum rate at which loads may be started.
 	LoadsPerSecond float64
-	// SlowDown is the factor by which loads are slower than at full speed.
+	// SlowDown is the factor by which loads take longer than at full speed.
 	SlowDown float64
 }
 
-// WeightStoreService tells the state of the weight store. Engines fetch from
-// it themselves.
+// WeightStoreService reports the load on the weight store. Engines fetch weights from the
+// store directly.
 type WeightStoreService interface {
 	Status(timeout time.Duration, done func(WeightStoreStatus, error))
 }
--- a/internal/outside/revision.go
+++ b/internal/outside/revision.go
@@ -1,16 +1,17 @@
 package outside
 
-// A service that is restored from a backup gives out revisions again. So the upper bits of a
-// revision count the restores, as far as the binding can tell them: the era. Revisions then
-// rise for as long as the service is used, and those of different eras are never equal.
-// Without restores, a revision is the service's own.
+// A service that is restored from a backup issues the same revisions again. The upper bits of
+// a revision therefore hold the era: the number of restores that the client has detected.
+// Revisions thus increase across restores, and revisions of different eras are never equal.
+// In era 0, before any restore, a revision equals the service's own.
 
-// revisionBits hold the service's own revision: enough for 1,000 writes a second for 34 years.
-// Eras up to 8,191 stay exact in numbers of 53 bits, as JSON has them.
+// revisionBits is the number of low bits that hold the service's own revision: enough for
+// 1,000 writes per second for 34 years. Revisions of eras up to 8,191 fit into 53 bits, the
+// integers that JSON numbers represent exactly.
 const revisionBits = 40
 
-// RevisionOf returns the revision for the service's own revision in an era. Zero, which stands
-// for a key that does not exist, stays zero.
+// RevisionOf combines an era and the service's own revision. Zero, which denotes a key that
+// does not exist, stays zero.
 func RevisionOf(era, own int64) int64 {
 	if own == 0 {
 		return 0
@@ -21,5 +22,5 @@
 // EraOf returns the era of a revision.
 func EraOf(revision int64) int64 { return revision >> revisionBits }
 
-// OwnRevision returns the service's own revision.
+// OwnRevision returns the part of a revision that is the service's own.
 func OwnRevision(revision int64) int64 { return revision & (1<<revisionBits - 1) }
