--- a/internal/outside/httpapi/attempt.go
+++ b/internal/outside/httpapi/attempt.go
@@ -15,7 +15,8 @@
 	"github.com/hatchplank/hatchplank/internal/result"
 )
 
-// The reasons of an AttemptError that this package finds itself.
+// The reasons of an AttemptError that originate in this package; others are received from
+// servers.
 const (
 	reasonConnection = "connection"
 	reasonTimeout    = "timeout"
@@ -24,17 +25,17 @@
 	reasonCancelled  = "cancelled"
 )
 
-// maxProblemBytes limits a problem document.
+// maxProblemBytes is the maximum size of a problem document.
 const maxProblemBytes = 16 << 10
 
 var errTooLarge = errors.New("body too large")
 
-// attempt is one HTTP request that must not be repeated.
+// attempt is one HTTP request, which must not be sent twice.
 type attempt struct {
 	id outside.AttemptID
 }
 
-// newRequest builds the attempt's request.
+// newRequest returns the attempt's HTTP request.
 func (a *attempt) newRequest(ctx context.Context, method, url string, body []byte) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -44,50 +45,53 @@
 	return request, nil
 }
 
-// unsent is the failure of an attempt for which no request was made.
-func (a *attempt) unsent(reason string) *outside.AttemptError {
+// notSentFailure returns the error of an attempt whose request was never sent.
+func (a *attempt) notSentFailure(reason string) *outside.AttemptError {
 	return &outside.AttemptError{Attempt: a.id, Ran: result.RanNo, Reason: reason}
 }
 
-// failed is the failure of an attempt after its request was sent.
-func (a *attempt) failed(reason string) *outside.AttemptError {
+// unknownFailure returns the error of an attempt whose request was sent and may have run.
+func (a *attempt) unknownFailure(reason string) *outside.AttemptError {
 	return &outside.AttemptError{Attempt: a.id, Ran: result.RanUnknown, Reason: reason}
 }
 
-// noResponse is the failure of an attempt that got no response.
-func (a *attempt) noResponse(ctx context.Context, err error) *outside.AttemptError {
-	failure := a.failed(reasonOf(ctx, reasonConnection))
+// transportFailure returns the error of an attempt that received no response.
+func (a *attempt) transportFailure(ctx context.Context, err error) *outside.AttemptError {
+	failure := a.unknownFailure(reasonOf(ctx, reasonConnection))
 	if errors.Is(err, exchange.ErrNotSent) {
 		failure.Ran = result.RanNo
 	}
 	return failure
 }
 
-// unsuccessful is the failure of an attempt whose response has an error status.
-func (a *attempt) unsuccessful(response *http.Response) *outside.AttemptError {
+// statusFailure returns the error of an attempt whose response is a problem document or has
+// an error status.
+func (a *attempt) statusFailure(response *http.Response) *outside.AttemptError {
 	problem, isProblem := readProblem(response)
 	if !isProblem {
-		return a.failed(reasonFailed)
+		return a.unknownFailure(reasonFailed)
 	}
-	return a.ofProblem(problem)
+	return a.problemFailure(problem)
 }
 
-func (a *attempt) ofProblem(problem Problem) *outside.AttemptError {
+// problemFailure returns the error that a problem document describes.
+func (a *attempt) problemFailure(problem Problem) *outside.AttemptError {
 	return &outside.AttemptError{
-		Attempt: a.id, Ran: ranOf(problem.Ran), Reason: problem.Reason, Load: problem.Load,
+		Attempt: a.id, Ran: parseRan(problem.Ran), Reason: problem.Reason, Load: problem.Load,
 	}
 }
 
-// matches reports whether the response may belong to the attempt: it names no
-// attempt or this one.
+// matches reports whether the response may belong to the attempt: its HeaderAttempt is
+// missing or equals the attempt's ID.
 func (a *attempt) matches(response *http.Response) bool {
-	named := response.Header.Get(HeaderAttempt)
-	return named == "" || named == string(a.id)
+	echoed := response.Header.Get(HeaderAttempt)
+	return echoed == "" || echoed == string(a.id)
 }
 
-// ranOf reads a word; anything but "no" and "yes" is unknown.
-func ranOf(word string) result.Ran {
-	switch word {
+// parseRan parses the ran field of a problem document; any value but "no" and "yes" is
+// RanUnknown.
+func parseRan(value string) result.Ran {
+	switch value {
 	case result.RanNo.String():
 		return result.RanNo
 	case result.RanYes.String():
@@ -97,12 +101,12 @@
 	}
 }
 
-// reasonOf explains a failure by the context if that has ended.
-func reasonOf(ctx context.Context, otherwise string) string {
+// reasonOf returns the reason of a failure: the fallback unless the context is done.
+func reasonOf(ctx context.Context, fallback string) string {
 	cause := context.Cause(ctx)
 	switch {
 	case cause == nil:
-		return otherwise
+		return fallback
 	case errors.Is(cause, context.DeadlineExceeded), errors.Is(cause, errIdleStream):
 		return reasonTimeout
 	default:
@@ -110,7 +114,7 @@
 	}
 }
 
-// readProblem reads a complete problem document.
+// readProblem reads a problem document. It returns false if the response is no complete one.
 func readProblem(response *http.Response) (Problem, bool) {
 	media, _, err := mime.ParseMediaType(response.Header.Get("Content-Type"))
 	if err != nil || media != MediaProblem {
@@ -127,7 +131,7 @@
 	return problem, true
 }
 
-// readLimited reads all of a body that is not larger than the limit.
+// readLimited reads a whole body. It returns errTooLarge if the body exceeds limit bytes.
 func readLimited(body io.Reader, limit int64) ([]byte, error) {
 	content, err := io.ReadAll(io.LimitReader(body, limit+1))
 	if err != nil {
@@ -139,13 +143,14 @@
 	return content, nil
 }
 
+// setHeader sets a header unless the value is empty.
 func setHeader(header http.Header, name, value string) {
 	if value != "" {
 		header.Set(name, value)
 	}
 }
 
-// loadOf reads the load headers; what is missing or unreadable is zero.
+// loadOf returns the load headers; a missing or invalid one counts as zero.
 func loadOf(header http.Header) outside.LoadHint {
 	running, _ := strconv.Atoi(header.Get(HeaderLoadRunning))
 	queued, _ := strconv.Atoi(header.Get(HeaderLoadQueued))
@@ -153,7 +158,7 @@
 	return outside.LoadHint{Running: running, Queued: queued, Leaving: leaving}
 }
 
-// SetLoad writes the load headers.
+// SetLoad sets the load headers.
 func SetLoad(header http.Header, load outside.LoadHint) {
 	header.Set(HeaderLoadRunning, strconv.Itoa(load.Running))
 	header.Set(HeaderLoadQueued, strconv.Itoa(load.Queued))
--- a/internal/outside/httpapi/backend.go
+++ b/internal/outside/httpapi/backend.go
@@ -16,15 +16,15 @@
 	options Options
 }
 
-// NewBackEnds returns a client with a connection pool of its own.
+// NewBackEnds returns a client with its own connection pool.
 func NewBackEnds(lookup Lookup, options Options) *BackEnds {
 	options = options.withDefaults()
 	return &BackEnds{client: newClient(options), lookup: lookup, options: options}
 }
 
-// newClient returns a client that sends each request once at most, and follows no
-// redirection. A server whose bytes go without acknowledgement is given up like one that
-// can't be reached.
+// newClient returns a client that sends each request at most once and follows no redirects.
+// A connection fails when sent bytes remain unacknowledged for the dial timeout, as it does
+// when the server can't be connected to.
 func newClient(options Options) *http.Client {
 	return &http.Client{
 		Transport: &exchange.Transport{Client: exchange.NewClient(exchange.DialSettings{
@@ -55,23 +55,23 @@
 func (b *BackEnds) call(request outside.BackEndRequest) (outside.BackEndResponse, *outside.AttemptError) {
 	none := outside.BackEndResponse{}
 	current := &attempt{id: request.Attempt}
-	address, known := b.lookup(request.Server)
-	if !known {
-		return none, current.unsent(reasonConnection)
+	address, found := b.lookup(request.Server)
+	if !found {
+		return none, current.notSentFailure(reasonConnection)
 	}
 	if !time.Now().Before(request.Deadline) {
-		return none, current.unsent(reasonTimeout)
+		return none, current.notSentFailure(reasonTimeout)
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), request.Deadline)
 	defer cancel()
 	httpRequest, err := current.newRequest(ctx, request.Method, "http://"+address+request.Path, request.Body)
 	if err != nil {
-		return none, current.unsent(reasonFailed)
+		return none, current.notSentFailure(reasonFailed)
 	}
 	setBackEndHeaders(httpRequest.Header, request)
 	response, err := b.client.Do(httpRequest)
 	if err != nil {
-		return none, current.noResponse(ctx, err)
+		return none, current.transportFailure(ctx, err)
 	}
 	defer response.Body.Close()
 	return b.read(ctx, current, response)
@@ -84,20 +84,19 @@
 	setHeader(header, HeaderTimeLeft, FormatTimeLeft(time.Until(request.Deadline)))
 }
 
-// read turns a complete response into the answer. A status that is not a
-// success is an answer too, unless its body is a problem document that speaks
-// about the run.
+// read returns the complete response. A response with an error status is returned too, unless
+// it is a problem document, which reports a failed attempt.
 func (b *BackEnds) read(ctx context.Context, current *attempt, response *http.Response) (outside.BackEndResponse, *outside.AttemptError) {
 	none := outside.BackEndResponse{}
 	if !current.matches(response) {
-		return none, current.failed(reasonFailed)
+		return none, current.unknownFailure(reasonFailed)
 	}
 	if response.Header.Get("Content-Type") == MediaProblem {
-		return none, current.unsuccessful(response)
+		return none, current.statusFailure(response)
 	}
 	body, err := readLimited(response.Body, b.options.MaxResponseBytes)
 	if err != nil {
-		return none, current.failed(reasonOf(ctx, reasonTruncated))
+		return none, current.unknownFailure(reasonOf(ctx, reasonTruncated))
 	}
 	return outside.BackEndResponse{
 		Attempt:     current.id,
--- a/internal/outside/httpapi/body.go
+++ b/internal/outside/httpapi/body.go
@@ -7,19 +7,19 @@
 
 var errNotObject = errors.New("body is not a JSON object")
 
-// streamField is the OpenAI field that asks for a stream.
+// streamField is the field of the OpenAI API that requests a stream.
 const streamField = "stream"
 
-// StreamingBody returns a caller's JSON body with "stream" set to true. A body that asks
-// for a stream already is returned unchanged.
+// StreamingBody returns a client's JSON body with "stream" set to true. A body that requests
+// a stream already is returned unchanged.
 func StreamingBody(body []byte) ([]byte, error) {
-	wish := struct {
+	requested := struct {
 		Stream bool `json:"stream"`
 	}{}
-	if err := json.Unmarshal(body, &wish); err != nil {
+	if err := json.Unmarshal(body, &requested); err != nil {
 		return nil, err
 	}
-	if wish.Stream {
+	if requested.Stream {
 		return body, nil
 	}
 	fields := map[string]json.RawMessage{}
--- a/internal/outside/httpapi/engines.go
+++ b/internal/outside/httpapi/engines.go
@@ -12,14 +12,14 @@
 // Engines implements outside.EngineService.
 type Engines struct {
 	client *http.Client
-	// control has connections of its own, so that orders and reports do not
-	// wait behind streams.
+	// control uses separate connections, so that orders, state reads and cancellations do
+	// not wait behind streams.
 	control *http.Client
 	lookup  Lookup
 	options Options
 }
 
-// NewEngines returns a client with connection pools of its own.
+// NewEngines returns a client with its own connection pools.
 func NewEngines(lookup Lookup, options Options) *Engines {
 	options = options.withDefaults()
 	return &Engines{client: newClient(options), control: newClient(options), lookup: lookup, options: options}
@@ -63,9 +63,9 @@
 	}()
 }
 
-var errBadState = errors.New("state with an unknown phase or source")
+var errBadState = errors.New("engine state with an unknown phase or source")
 
-// checkState refuses a state with numbers that this program has no words for.
+// checkState returns an error if the state contains a phase or source that is out of range.
 func checkState(state *outside.EngineState) error {
 	for _, replica := range state.Replicas {
 		if replica.Phase > outside.ReplicaFailed || replica.Source > outside.SourceRemote {
@@ -85,10 +85,11 @@
 	return nil
 }
 
-// postCancel reports whether the engine knew the attempt and cancels it.
+// postCancel asks the engine to cancel an attempt. It reports whether the engine found the
+// attempt and accepted the request.
 func (e *Engines) postCancel(server outside.ServerID, attempt outside.AttemptID) bool {
-	address, known := e.lookup(server)
-	if !known {
+	address, found := e.lookup(server)
+	if !found {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), e.options.CancelTimeout)
@@ -106,8 +107,8 @@
 }
 
 func (e *Engines) exchange(server outside.ServerID, timeout time.Duration, method, path string, content, result any) (bool, error) {
-	address, known := e.lookup(server)
-	if !known {
+	address, found := e.lookup(server)
+	if !found {
 		return false, outside.ErrServerUnreachable
 	}
 	return exchangeJSON(e.control, e.options.MaxResponseBytes, timeout, method, "http://"+address+path, content, result)
--- a/internal/outside/httpapi/frame.go
+++ b/internal/outside/httpapi/frame.go
@@ -11,7 +11,7 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// The ways in which a stream can be broken.
+// The errors of an invalid or interrupted stream.
 var (
 	errTruncated     = errors.New("stream ended before it was complete")
 	errFrameTooLarge = errors.New("frame too large")
@@ -25,15 +25,15 @@
 	doneMarker = []byte(DoneMarker)
 )
 
-// frameReader reads the frames of a stream of server-sent events, one line of
-// data each. It reuses its buffers; readers come from a pool.
+// frameReader reads the frames of a stream of server-sent events with one data line each.
+// Readers are pooled, and their buffers reused.
 type frameReader struct {
 	buffer *bufio.Reader
 	frame  receivedFrame
 }
 
-// receivedFrame is the part of a StreamFrame that a client uses. Leaving the
-// rest out saves allocations on the way of every token.
+// receivedFrame is the part of a StreamFrame that a client uses. Omitting the rest saves
+// allocations for every token.
 type receivedFrame struct {
 	Choices []receivedChoice  `json:"choices"`
 	Usage   *StreamUsage      `json:"usage"`
@@ -52,11 +52,11 @@
 	FinishReason *string `json:"finish_reason"`
 }
 
-// framePools holds the idle readers by their buffer size.
-var framePools sync.Map
+// frameReaderPools holds a pool of idle readers for each buffer size.
+var frameReaderPools sync.Map
 
 func newFrameReader(body io.Reader, size int) *frameReader {
-	pool, _ := framePools.LoadOrStore(size, &sync.Pool{})
+	pool, _ := frameReaderPools.LoadOrStore(size, &sync.Pool{})
 	if reader, found := pool.(*sync.Pool).Get().(*frameReader); found {
 		reader.buffer.Reset(body)
 		return reader
@@ -69,13 +69,13 @@
 	size := r.buffer.Size()
 	r.buffer.Reset(nil)
 	r.clear()
-	if pool, found := framePools.Load(size); found {
+	if pool, found := frameReaderPools.Load(size); found {
 		pool.(*sync.Pool).Put(r)
 	}
 }
 
-// next returns the next frame, or nil when the done marker was read. The frame
-// is valid until the next call.
+// next returns the next frame, or nil at the done marker. The frame is valid until the next
+// call.
 func (r *frameReader) next() (*receivedFrame, error) {
 	data, err := r.nextData()
 	if err != nil {
@@ -91,8 +91,7 @@
 	return &r.frame, nil
 }
 
-// nextData returns the data of the next frame; comments and other fields are
-// passed over.
+// nextData returns the data of the next frame. It skips comments and other fields.
 func (r *frameReader) nextData() ([]byte, error) {
 	for {
 		line, err := r.buffer.ReadSlice('\n')
@@ -110,7 +109,7 @@
 	}
 }
 
-// clear forgets the frame before, but keeps its room for choices.
+// clear resets the frame but keeps the capacity of its choices.
 func (r *frameReader) clear() {
 	choices := r.frame.Choices[:cap(r.frame.Choices)]
 	clear(choices)
--- a/internal/outside/httpapi/generate.go
+++ b/internal/outside/httpapi/generate.go
@@ -12,14 +12,14 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-var errCancelled = errors.New("cancelled by the caller")
+var errCancelled = errors.New("generation cancelled by the caller")
 
-// maxDrainBytes are read after the end of a stream so that its connection can
-// be used again.
+// maxDrainBytes is the maximum number of bytes read after the end of a stream so that its
+// connection can be reused.
 const maxDrainBytes = 4 << 10
 
-// generation is one attempt in progress. It runs on a goroutine of its own,
-// which makes all calls of the sink.
+// generation is one attempt in progress. It runs on its own goroutine, which makes all calls
+// of the sink.
 type generation struct {
 	engines *Engines
 	request outside.GenerateRequest
@@ -29,8 +29,9 @@
 	cancel  context.CancelCauseFunc
 }
 
-// Generate implements outside.EngineService. Cancel asks the engine to cancel
-// and waits for its word on the attempt; without one, it closes the connection.
+// Generate implements outside.EngineService. Cancel asks the engine to cancel the attempt and
+// leaves the stream open for the engine's final frame; if none arrives within CancelTimeout,
+// the connection is closed.
 func (e *Engines) Generate(request outside.GenerateRequest, sink outside.GenerateSink) (cancel func()) {
 	ctx, cancelCause := context.WithCancelCause(context.Background())
 	current := &generation{
@@ -43,9 +44,9 @@
 	return func() { once.Do(func() { go current.cancelAtEngine() }) }
 }
 
-// cancelAtEngine asks the engine to cancel the attempt. The stream then ends
-// with the engine's word; if the engine does not know the attempt, or the word
-// does not come, the connection is closed.
+// cancelAtEngine asks the engine to cancel the attempt. The engine then ends the stream with
+// a final frame. The connection is closed if the request fails, the engine does not find the
+// attempt, or the stream does not end within CancelTimeout.
 func (g *generation) cancelAtEngine() {
 	if g.ctx.Err() != nil {
 		return
@@ -60,7 +61,7 @@
 
 func (g *generation) run() {
 	defer g.cancel(nil)
-	stopDeadline := g.armDeadline()
+	stopDeadline := g.startDeadlineTimer()
 	defer stopDeadline()
 	response, failure := g.send()
 	if failure != nil {
@@ -71,8 +72,8 @@
 	g.receive(response)
 }
 
-// armDeadline cancels the attempt at its deadline, if it has one.
-func (g *generation) armDeadline() (stop func()) {
+// startDeadlineTimer starts a timer that cancels the attempt at its deadline, if any.
+func (g *generation) startDeadlineTimer() (stop func()) {
 	if g.request.Deadline.IsZero() {
 		return func() {}
 	}
@@ -85,29 +86,29 @@
 	return func() { timer.Stop() }
 }
 
-// send returns the response if its status is a success.
+// send sends the request and returns the response if its status is OK.
 func (g *generation) send() (*http.Response, *outside.AttemptError) {
 	if g.ctx.Err() != nil {
-		return nil, g.attempt.unsent(reasonOf(g.ctx, reasonCancelled))
+		return nil, g.attempt.notSentFailure(reasonOf(g.ctx, reasonCancelled))
 	}
-	address, known := g.engines.lookup(g.request.Server)
-	if !known {
-		return nil, g.attempt.unsent(reasonConnection)
+	address, found := g.engines.lookup(g.request.Server)
+	if !found {
+		return nil, g.attempt.notSentFailure(reasonConnection)
 	}
 	body, err := g.body()
 	if err != nil {
-		return nil, g.attempt.unsent(reasonFailed)
+		return nil, g.attempt.notSentFailure(reasonFailed)
 	}
 	request, err := g.attempt.newRequest(g.ctx, http.MethodPost, "http://"+address+g.request.Path, body)
 	if err != nil {
-		return nil, g.attempt.unsent(reasonFailed)
+		return nil, g.attempt.notSentFailure(reasonFailed)
 	}
 	setGenerateHeaders(request.Header, g.request)
 	response, err := g.engines.client.Do(request)
 	if err != nil {
-		return nil, g.attempt.noResponse(g.ctx, err)
+		return nil, g.attempt.transportFailure(g.ctx, err)
 	}
-	if failure := g.judge(response); failure != nil {
+	if failure := g.checkResponse(response); failure != nil {
 		response.Body.Close()
 		return nil, failure
 	}
@@ -121,13 +122,14 @@
 	return StreamingBody(g.request.Body)
 }
 
-// judge returns the failure that a response stands for, or nil.
-func (g *generation) judge(response *http.Response) *outside.AttemptError {
+// checkResponse returns the attempt's error if the response belongs to another attempt or its
+// status is not OK, else nil.
+func (g *generation) checkResponse(response *http.Response) *outside.AttemptError {
 	if !g.attempt.matches(response) {
-		return g.attempt.failed(reasonFailed)
+		return g.attempt.unknownFailure(reasonFailed)
 	}
 	if response.StatusCode != http.StatusOK {
-		return g.attempt.unsuccessful(response)
+		return g.attempt.statusFailure(response)
 	}
 	return nil
 }
@@ -149,7 +151,7 @@
 	}
 }
 
-// receive relays the stream to the sink until its end.
+// receive passes the stream to the sink until it ends.
 func (g *generation) receive(response *http.Response) {
 	reader := newFrameReader(response.Body, g.engines.options.MaxFrameBytes)
 	defer reader.release()
@@ -163,7 +165,7 @@
 			err = stream.accept(frame)
 		}
 		if err != nil {
-			g.sink.Failed(g.broken(err))
+			g.sink.Failed(g.streamFailure(err))
 			return
 		}
 		if stream.failure != nil {
@@ -175,36 +177,36 @@
 		}
 	}
 	g.sink.End(*stream.end)
-	// The connection can be used again only when its body was read to the end.
+	// The connection can be reused only if the body was read to its end.
 	_, _ = io.CopyN(io.Discard, response.Body, maxDrainBytes)
 }
 
-// broken is the failure for a stream that ended with an error.
-func (g *generation) broken(err error) *outside.AttemptError {
+// streamFailure returns the attempt's error for an error of its stream.
+func (g *generation) streamFailure(err error) *outside.AttemptError {
 	switch {
 	case errors.Is(err, errBadFrame), errors.Is(err, errFrameTooLarge):
-		return g.attempt.failed(reasonFailed)
+		return g.attempt.unknownFailure(reasonFailed)
 	default:
-		return g.attempt.failed(reasonOf(g.ctx, reasonTruncated))
+		return g.attempt.unknownFailure(reasonOf(g.ctx, reasonTruncated))
 	}
 }
 
 // streamState checks that a stream is complete and in order.
 type streamState struct {
 	generation *generation
-	// next is the index of the chunk expected.
+	// next is the index of the next expected chunk.
 	next    int
 	end     *outside.GenerateEnd
 	failure *outside.AttemptError
 }
 
-// accept takes the next frame; nil is the done marker.
+// accept processes the next frame; nil is the done marker.
 func (s *streamState) accept(frame *receivedFrame) error {
 	switch {
 	case frame == nil:
 		return s.acceptDone()
 	case frame.Problem != nil:
-		s.failure = s.generation.attempt.ofProblem(*frame.Problem)
+		s.failure = s.generation.attempt.problemFailure(*frame.Problem)
 		return nil
 	case frame.Chunks != nil:
 		return s.acceptEnd(frame)
@@ -244,7 +246,7 @@
 		s.end.FinishReason = *frame.Choices[0].FinishReason
 	}
 	if frame.Usage != nil {
-		s.end.Usage = frame.Usage.platformUsage()
+		s.end.Usage = frame.Usage.usage()
 	}
 	if frame.Load != nil {
 		s.end.Load = *frame.Load
@@ -259,7 +261,7 @@
 	return nil
 }
 
-func (u *StreamUsage) platformUsage() outside.Usage {
+func (u *StreamUsage) usage() outside.Usage {
 	usage := outside.Usage{PromptTokens: u.PromptTokens, CompletionTokens: u.CompletionTokens}
 	if u.PromptDetails != nil {
 		usage.CachedTokens = u.PromptDetails.CachedTokens
--- a/internal/outside/httpapi/httpapi_test.go
+++ b/internal/outside/httpapi/httpapi_test.go
@@ -23,7 +23,7 @@
 	ginkgo.RunSpecs(t, "HTTP clients")
 }
 
-// collector is a sink that keeps what it is given.
+// collector is a sink that records the calls it receives.
 type collector struct {
 	texts []string
 	end   *outside.GenerateEnd
@@ -43,7 +43,7 @@
 	c.ended.Done()
 }
 
-// generate runs an attempt against a handler.
+// generate runs one attempt against a server with the handler and waits for its end.
 func generate(handler http.HandlerFunc, options httpapi.Options) *collector {
 	listener := httptest.NewServer(handler)
 	defer listener.Close()
@@ -60,7 +60,7 @@
 	return sink
 }
 
-// chunkFrame is a frame of the chunk with this index.
+// chunkFrame returns the frame of the chunk with the index.
 func chunkFrame(index int) string {
 	return fmt.Sprintf(`data: {"choices":[{"text":"t%d"}],"chunk_index":%d}`+"\n\n", index, index)
 }
@@ -70,7 +70,8 @@
 	doneFrame = "data: [DONE]\n\n"
 )
 
-func answerWith(status int, header map[string]string, body string) http.HandlerFunc {
+// respondWith returns a handler that always sends the same response.
+func respondWith(status int, header map[string]string, body string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) {
 		for name, value := range header {
 			writer.Header().Set(name, value)
@@ -84,7 +85,7 @@
 
 var _ = ginkgo.DescribeTable("a stream",
 	func(body string, texts []string, reason string) {
-		sink := generate(answerWith(http.StatusOK, nil, body), httpapi.Options{MaxFrameBytes: 1024})
+		sink := generate(respondWith(http.StatusOK, nil, body), httpapi.Options{MaxFrameBytes: 1024})
 		gomega.Expect(sink.texts).To(gomega.Equal(texts))
 		if reason == "" {
 			gomega.Expect(sink.err).To(gomega.BeNil())
@@ -111,23 +112,23 @@
 	ginkgo.Entry("that ends with a problem", chunkFrame(0)+`data: {"choices":[],"problem":{"ran":"unknown","reason":"failed"}}`+"\n\n", []string{"t0"}, "failed"),
 )
 
-var _ = ginkgo.DescribeTable("an answer that is no stream",
+var _ = ginkgo.DescribeTable("a response that is not a stream",
 	func(status int, header map[string]string, body string, ran result.Ran, reason string) {
-		sink := generate(answerWith(status, header, body), httpapi.Options{})
+		sink := generate(respondWith(status, header, body), httpapi.Options{})
 		gomega.Expect(sink.err.Ran).To(gomega.Equal(ran))
 		gomega.Expect(sink.err.Reason).To(gomega.Equal(reason))
 	},
 	ginkgo.Entry("a refusal", 503, problemHeader, `{"ran":"no","reason":"busy"}`, result.RanNo, "busy"),
 	ginkgo.Entry("a failure after a run", 500, problemHeader, `{"ran":"yes","reason":"failed"}`, result.RanYes, "failed"),
-	ginkgo.Entry("a problem that says nothing of the run", 503, problemHeader, `{}`, result.RanUnknown, ""),
+	ginkgo.Entry("a problem without the ran field", 503, problemHeader, `{}`, result.RanUnknown, ""),
 	ginkgo.Entry("a problem cut short", 503, problemHeader, `{"ran":"no","reason":"bu`, result.RanUnknown, "failed"),
 	ginkgo.Entry("a body that only looks like a refusal", 503, nil, `{"ran":"no"}`, result.RanUnknown, "failed"),
 	ginkgo.Entry("a redirection", 302, map[string]string{"Location": "/"}, "", result.RanUnknown, "failed"),
-	ginkgo.Entry("the answer to another attempt", 200, map[string]string{httpapi.HeaderAttempt: "a2"},
+	ginkgo.Entry("the response to another attempt", 200, map[string]string{httpapi.HeaderAttempt: "a2"},
 		chunkFrame(0)+chunkFrame(1)+endOfTwo+doneFrame, result.RanUnknown, "failed"),
 )
 
-var _ = ginkgo.It("ends a stream that stands still", func() {
+var _ = ginkgo.It("ends a stream that is idle for longer than the timeout", func() {
 	sink := generate(func(writer http.ResponseWriter, request *http.Request) {
 		fmt.Fprint(writer, chunkFrame(0))
 		_ = http.NewResponseController(writer).Flush()
@@ -154,7 +155,7 @@
 	ginkgo.Entry("refuses null", `null`, ""),
 )
 
-var _ = ginkgo.It("reports no attempt as not run that reached the server, however early it was given up", func() {
+var _ = ginkgo.It("never reports an attempt that reached the server as not run, however short its deadline", func() {
 	var received sync.Map
 	listener := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
 		received.Store(request.Header.Get(httpapi.HeaderAttempt), true)
@@ -167,7 +168,7 @@
 	var notRun sync.Map
 	for number := range attempts {
 		ended.Add(1)
-		// Some deadlines pass before the connection, some during the write.
+		// Some deadlines pass before the connection is established, some during the write.
 		limit := time.Duration(number%200) * 20 * time.Microsecond
 		client.Call(outside.BackEndRequest{
 			Attempt: outside.AttemptID(fmt.Sprint(number)), Key: "key", Method: http.MethodPost, Path: "/",
@@ -193,9 +194,9 @@
 	gomega.Expect(proved).To(gomega.BeNumerically(">", 0))
 })
 
-var _ = ginkgo.DescribeTable("a state is refused with",
+var _ = ginkgo.DescribeTable("a state is refused only if invalid:",
 	func(state string, refused bool) {
-		listener := httptest.NewServer(answerWith(http.StatusOK, nil, state))
+		listener := httptest.NewServer(respondWith(http.StatusOK, nil, state))
 		defer listener.Close()
 		client := httpapi.NewEngines(func(outside.ServerID) (string, bool) {
 			return listener.Listener.Addr().String(), true
@@ -206,14 +207,14 @@
 		err := <-failures
 		gomega.Expect(errors.Is(err, outside.ErrServerUnreachable)).To(gomega.Equal(refused))
 	},
-	ginkgo.Entry("nothing wrong", `{"Replicas":[{"Phase":3,"Source":2}],"Cached":[{"Source":0}]}`, false),
+	ginkgo.Entry("only valid values", `{"Replicas":[{"Phase":3,"Source":2}],"Cached":[{"Source":0}]}`, false),
 	ginkgo.Entry("an unknown phase", `{"Replicas":[{"Phase":4}]}`, true),
 	ginkgo.Entry("an unknown adapter phase", `{"Replicas":[{"Adapters":[{"Phase":9}]}]}`, true),
 	ginkgo.Entry("an unknown source", `{"Cached":[{"Source":3}]}`, true),
-	ginkgo.Entry("half a document", `{"Replicas":[`, true),
+	ginkgo.Entry("a truncated document", `{"Replicas":[`, true),
 )
 
-// BenchmarkRelay measures one chunk's way from a server to the sink.
+// BenchmarkRelay measures the transfer of one chunk from a server to the sink.
 func BenchmarkRelay(b *testing.B) {
 	var body strings.Builder
 	for index := range b.N {
@@ -224,13 +225,13 @@
 	content := body.String()
 	b.ReportAllocs()
 	b.ResetTimer()
-	sink := generate(answerWith(http.StatusOK, nil, content), httpapi.Options{})
+	sink := generate(respondWith(http.StatusOK, nil, content), httpapi.Options{})
 	if sink.err != nil || len(sink.texts) != b.N {
 		b.Fatal(sink.err, len(sink.texts))
 	}
 }
 
-var _ = ginkgo.It("does not call an attempt not run whose pooled connection broke after its bytes were written", func() {
+var _ = ginkgo.It("reports an attempt as possibly run if its pooled connection broke after its bytes were written", func() {
 	received := 0
 	listener := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		received++
--- a/internal/outside/httpapi/options.go
+++ b/internal/outside/httpapi/options.go
@@ -6,30 +6,31 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// Lookup finds the address, host and port, of a server.
-type Lookup func(server outside.ServerID) (address string, known bool)
+// Lookup returns the address (host:port) of a server; found is false if the server has none.
+type Lookup func(server outside.ServerID) (address string, found bool)
 
-// Options of the clients. The zero value of a field means its default.
+// Options configures the clients. A field that is zero takes its default.
 type Options struct {
-	// DialTimeout limits the time to connect.
+	// DialTimeout limits the time to connect, and the time that sent bytes may remain
+	// unacknowledged.
 	DialTimeout time.Duration
-	// IdleStreamTimeout ends a stream that sends nothing for so long after its
-	// first frame. Before that, the deadline alone counts.
+	// IdleStreamTimeout is the maximum time between two frames of a stream. It starts with
+	// the response's headers; before them, only the request's deadline applies.
 	IdleStreamTimeout time.Duration
-	// CancelTimeout is how long a cancelled generation waits for the engine's
-	// word on it before its connection is closed.
+	// CancelTimeout limits the request that cancels a generation, and then the wait for the
+	// end of its stream before the connection is closed.
 	CancelTimeout time.Duration
-	// IdleConnectionTimeout closes pooled connections. It must be shorter than
-	// the servers' own.
+	// IdleConnectionTimeout is the time after which an idle pooled connection is closed. It
+	// must be shorter than the servers' idle timeout.
 	IdleConnectionTimeout time.Duration
-	// IdleConnectionsPerServer are kept open.
+	// IdleConnectionsPerServer is the maximum number of idle connections kept per server.
 	IdleConnectionsPerServer int
-	// MaxFrameBytes limits one frame of a stream.
+	// MaxFrameBytes is the maximum size of one frame of a stream.
 	MaxFrameBytes int
-	// MaxResponseBytes limits any other body.
+	// MaxResponseBytes is the maximum size of any other response body.
 	MaxResponseBytes int64
-	// StreamInBody sets "stream":true in the body of a generation, for engines
-	// that do not heed the Accept header. Otherwise the body is sent as it is.
+	// StreamInBody sets "stream":true in the body of a generation, for engines that ignore
+	// the Accept header. Otherwise the body is sent unchanged.
 	StreamInBody bool
 }
 
--- a/internal/outside/httpapi/query.go
+++ b/internal/outside/httpapi/query.go
@@ -13,9 +13,9 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// exchangeJSON sends a request with an optional JSON body and decodes the JSON
-// answer into result; it reports false if the answer is 304 (not modified).
-// Every error wraps outside.ErrServerUnreachable.
+// exchangeJSON sends a request with an optional JSON body and decodes the JSON response into
+// result. It returns false if the status is 304 (not modified). Every error wraps
+// outside.ErrServerUnreachable.
 func exchangeJSON(client *http.Client, limit int64, timeout time.Duration, method, url string, content, result any) (bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -34,7 +34,7 @@
 	case http.StatusOK:
 		return true, decodeJSON(response.Body, limit, result)
 	default:
-		return false, unreachable(fmt.Errorf("status %d", response.StatusCode))
+		return false, unreachable(fmt.Errorf("unexpected HTTP status %d", response.StatusCode))
 	}
 }
 
