--- a/internal/outside/etcd/call.go
+++ b/internal/outside/etcd/call.go
@@ -15,8 +15,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// post sends one request and decodes its response. An endpoint that could not
-// be connected to is followed by the next one, each at most once.
+// post sends one request and decodes its response. If the connection to an endpoint fails, it
+// tries the next one, each endpoint at most once.
 func (c *Client) post(ctx context.Context, path string, request, response any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -29,7 +29,7 @@
 		if err == nil {
 			return nil
 		}
-		c.avoidAfter(err, index)
+		c.avoidFailedEndpoint(err, index)
 		if sent || ctx.Err() != nil {
 			return err
 		}
@@ -37,18 +37,18 @@
 	return err
 }
 
-// avoidAfter moves on to the next endpoint unless this one answered that the
-// request itself is at fault.
-func (c *Client) avoidAfter(err error, index uint32) {
-	var answered *statusError
-	if eris.As(err, &answered) && answered.blamesRequest() {
+// avoidFailedEndpoint switches to the next endpoint, unless this one responded that the
+// request itself is invalid.
+func (c *Client) avoidFailedEndpoint(err error, index uint32) {
+	var response *statusError
+	if eris.As(err, &response) && response.isRequestError() {
 		return
 	}
-	c.avoid(index)
+	c.advanceEndpoint(index)
 }
 
-// postTo sends one request to one URL. Sent is false if no byte of the request
-// can have left.
+// postTo sends one request to one URL and decodes its response. Sent is false only if no byte
+// of the request can have been sent.
 func (c *Client) postTo(ctx context.Context, url string, body []byte, response any) (sent bool, err error) {
 	httpResponse, sent, err := c.open(ctx, url, body)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return true, nil
 }
 
-// open sends one request and returns the response if its status is OK.
+// open sends one request and returns the response if its status is OK. Sent is as in postTo.
 func (c *Client) open(ctx context.Context, url string, body []byte) (response *http.Response, sent bool, err error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -93,16 +93,16 @@
 	return response, true, nil
 }
 
-// drainBytes are read from a body before it is closed, so that the connection
-// can be used again.
-const drainBytes = 4 << 10
+// maxDrainBytes is the maximum number of bytes read from a body before it is closed, so that
+// the connection can be reused.
+const maxDrainBytes = 4 << 10
 
 func drain(body io.ReadCloser) {
-	_, _ = io.CopyN(io.Discard, body, drainBytes)
+	_, _ = io.CopyN(io.Discard, body, maxDrainBytes)
 	_ = body.Close()
 }
 
-// maxErrorBytes bounds the body of a failed call.
+// maxErrorBytes is the maximum size of the body of an error response.
 const maxErrorBytes = 16 << 10
 
 func readStatusError(response *http.Response) error {
--- a/internal/outside/etcd/config.go
+++ b/internal/outside/etcd/config.go
@@ -1,5 +1,5 @@
-// Package etcd binds outside.KeyValueService to the published JSON interface
-// of etcd v3 over HTTP.
+// Package etcd implements outside.KeyValueService as a client of the JSON gateway of etcd v3
+// over HTTP.
 package etcd
 
 import (
@@ -18,44 +18,44 @@
 
 // The defaults of Config.
 const (
-	// DefaultMaxResponseBytes bounds a response, and one message of a watch.
+	// DefaultMaxResponseBytes is the maximum size of a response, or of one message of a watch.
 	DefaultMaxResponseBytes = 16 << 20
-	// DefaultWatchIdleTimeout is the longest time without a message of a watch.
+	// DefaultWatchIdleTimeout is the maximum time between two messages of a watch.
 	DefaultWatchIdleTimeout = 5 * time.Second
-	// defaultIdleConnections kept to one endpoint.
+	// defaultIdleConnections is the maximum number of idle connections per endpoint.
 	defaultIdleConnections = 32
 )
 
 // Config configures a Client.
 type Config struct {
-	// Endpoints are base URLs such as "http://127.0.0.1:2379"; at least one.
+	// Endpoints are base URLs such as "http://127.0.0.1:2379". At least one is required.
 	Endpoints []string
-	// HTTPClient sends the requests; nil: one with a transport of its own. Its
-	// transport must be an *http.Transport, since others do not tell whether a
-	// request was sent. Its timeout must be zero.
+	// HTTPClient sends the requests; nil: a client with its own transport. Its transport
+	// must be nil or an *http.Transport, since others may not report whether a request was
+	// sent. Its timeout must be zero.
 	HTTPClient *http.Client
-	// Logger logs lost watches, and that the service went back to an earlier state.
+	// Logger receives messages about lost watches and about rollbacks of the service to an
+	// earlier state.
 	Logger zerolog.Logger
-	// MaxResponseBytes bounds a response. Zero: DefaultMaxResponseBytes.
+	// MaxResponseBytes is the maximum size of a response. Zero: DefaultMaxResponseBytes.
 	MaxResponseBytes int64
-	// WatchIdleTimeout ends a watch that brought no message for so long. The
-	// service must send progress notifications more often. Zero:
+	// WatchIdleTimeout is the time without a message after which a watch is lost. The
+	// service must send progress notifications at shorter intervals. Zero:
 	// DefaultWatchIdleTimeout.
 	WatchIdleTimeout time.Duration
 }
 
-// Client is a binding of outside.KeyValueService. It is safe for concurrent
-// use.
+// Client implements outside.KeyValueService. It is safe for concurrent use.
 type Client struct {
 	config     Config
 	httpClient *http.Client
 	endpoints  []string
-	// preferred counts changes of endpoint; modulo their number it is the
-	// index of the one to use.
+	// preferred is the number of switches to another endpoint. Modulo the number of
+	// endpoints it is the index of the current one.
 	preferred atomic.Uint32
 	rollbacks rollbackDetector
 
-	// context ends with Close.
+	// context is canceled by Close.
 	context context.Context
 	cancel  context.CancelFunc
 	mutex   sync.Mutex
@@ -65,7 +65,7 @@
 
 var _ outside.KeyValueService = (*Client)(nil)
 
-// New returns a client. It does not connect yet.
+// New returns a client without connecting. It returns an error if the configuration is invalid.
 func New(config Config) (*Client, error) {
 	endpoints, err := checkEndpoints(config.Endpoints)
 	if err != nil {
@@ -88,7 +88,7 @@
 
 func checkEndpoints(given []string) ([]string, error) {
 	if len(given) == 0 {
-		return nil, eris.New("no endpoint of the key-value service given")
+		return nil, eris.New("no endpoint of the key-value service configured")
 	}
 	endpoints := make([]string, 0, len(given))
 	for _, endpoint := range given {
@@ -101,7 +101,7 @@
 	return endpoints, nil
 }
 
-// prepareHTTPClient returns a copy that follows no redirects.
+// prepareHTTPClient returns a copy of the given client that follows no redirects.
 func prepareHTTPClient(given *http.Client) (*http.Client, error) {
 	client := &http.Client{}
 	if given != nil {
@@ -123,8 +123,8 @@
 	return client, nil
 }
 
-// Close ends all calls and watches and waits for them. It must not be called
-// from a callback. Calls made later end with outside.ErrNotApplied.
+// Close cancels all calls and watches and waits for their goroutines. It must not be called
+// from a callback. Later calls fail with outside.ErrNotApplied.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	c.closed = true
@@ -134,8 +134,8 @@
 	c.httpClient.CloseIdleConnections()
 }
 
-// start runs function on a goroutine that Close waits for; closed functions
-// run with an ended context.
+// start runs function on a goroutine that Close waits for. After Close, the function still
+// runs, with a canceled context and without being waited for.
 func (c *Client) start(function func()) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -146,11 +146,11 @@
 	c.running.Go(function)
 }
 
-// endpoint returns the base URL to use now.
+// endpoint returns the base URL of the current endpoint, and its index for advanceEndpoint.
 func (c *Client) endpoint() (base string, index uint32) {
 	index = c.preferred.Load()
 	return c.endpoints[int(index)%len(c.endpoints)], index
 }
 
-// avoid moves on to the next endpoint unless another call did so already.
-func (c *Client) avoid(index uint32) { c.preferred.CompareAndSwap(index, index+1) }
+// advanceEndpoint switches to the next endpoint unless another call has done so already.
+func (c *Client) advanceEndpoint(index uint32) { c.preferred.CompareAndSwap(index, index+1) }
--- a/internal/outside/etcd/convert.go
+++ b/internal/outside/etcd/convert.go
@@ -5,8 +5,8 @@
 	"github.com/hatchplank/hatchplank/internal/outside/etcd/wire"
 )
 
-// prefixRange returns the range of all keys with the prefix. The empty prefix
-// covers all keys, which the protocol writes as two zero bytes.
+// prefixRange returns the range of all keys with the prefix. The range of the empty prefix
+// covers all keys; the protocol represents it by a zero byte as key and as end.
 func prefixRange(prefix string) (key, end []byte) {
 	if prefix == "" {
 		return []byte{0}, []byte{0}
--- a/internal/outside/etcd/etcd_suite_test.go
+++ b/internal/outside/etcd/etcd_suite_test.go
@@ -43,24 +43,24 @@
 	return client
 }
 
-// outcome is the end of a call.
+// outcome is the result of a transaction as passed to its callback.
 type outcome struct {
 	result outside.TransactionResult
 	err    error
 }
 
 func transact(client *etcd.Client, timeout time.Duration, transaction outside.Transaction) outcome {
-	ended := make(chan outcome, 2)
-	client.Transact(transaction, timeout, func(result outside.TransactionResult, err error) { ended <- outcome{result, err} })
-	var end outcome
-	Eventually(ended, longTimeout).Should(Receive(&end))
-	return end
+	outcomes := make(chan outcome, 2)
+	client.Transact(transaction, timeout, func(result outside.TransactionResult, err error) { outcomes <- outcome{result, err} })
+	var received outcome
+	Eventually(outcomes, longTimeout).Should(Receive(&received))
+	return received
 }
 
 func awaitError(call func(done func(error))) error {
-	ended := make(chan error, 2)
-	call(func(err error) { ended <- err })
+	errs := make(chan error, 2)
+	call(func(err error) { errs <- err })
 	var err error
-	Eventually(ended, longTimeout).Should(Receive(&err))
+	Eventually(errs, longTimeout).Should(Receive(&err))
 	return err
 }
--- a/internal/outside/etcd/rollback.go
+++ b/internal/outside/etcd/rollback.go
@@ -6,10 +6,10 @@
 	"github.com/rs/zerolog"
 )
 
-// rollbackDetector notices that the service went back to an earlier state, as after a restore
-// from a backup beneath running nodes. The product relies on that this never happens: epochs
-// of owners, cells and claims live there. Calls that are linearizable answer with a revision
-// not below that of any answer that came before they began.
+// rollbackDetector detects a rollback of the service to an earlier state, as after a restore
+// from a backup under running nodes. The service must not roll back, because it stores the
+// epochs of owners, cells and claims. The response of a linearizable call has a revision not
+// below that of any response received before the call started; a lower one is a rollback.
 type rollbackDetector struct {
 	logger zerolog.Logger
 
@@ -17,15 +17,16 @@
 	highest int64
 }
 
-// begin returns the revision below which the answer to a call that begins now can't lie.
-func (d *rollbackDetector) begin() (floor int64) {
+// currentFloor returns the minimum revision of the response to a call that starts now.
+func (d *rollbackDetector) currentFloor() (floor int64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.highest
 }
 
-// answered notes the revision of an answer. A rollback is logged once.
-func (d *rollbackDetector) answered(floor, revision int64) {
+// observe records the revision of the response to a call that started with the given floor. It
+// logs each rollback once.
+func (d *rollbackDetector) observe(floor, revision int64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if revision >= floor {
@@ -33,7 +34,7 @@
 		return
 	}
 	if d.highest < floor {
-		// Another call has noticed it.
+		// Another call has detected this rollback already.
 		return
 	}
 	d.logger.Error().Int64("revision", revision).Int64("revision_before", d.highest).Msg("key-value service went back to an earlier state")
--- a/internal/outside/etcd/rollback_test.go
+++ b/internal/outside/etcd/rollback_test.go
@@ -15,8 +15,8 @@
 	"github.com/rs/zerolog"
 )
 
-var _ = Describe("A service that is restored beneath running nodes", func() {
-	It("is noticed and logged, once for each restore", func() {
+var _ = Describe("A restore of the service under running nodes", func() {
+	It("is detected and logged, once for each restore", func() {
 		store := keyvalue.NewStore(keyvalue.Options{Clock: clock.System{}})
 		server := httptest.NewServer(keyvalue.NewServer(store, zerolog.Nop()))
 		DeferCleanup(server.Close)
@@ -29,9 +29,9 @@
 			Expect(end.err).NotTo(HaveOccurred())
 		}
 		read := func() {
-			ended := make(chan error, 1)
-			client.Range("key", longTimeout, func(_ outside.RangeResult, err error) { ended <- err })
-			Eventually(ended, longTimeout).Should(Receive(BeNil()))
+			errs := make(chan error, 1)
+			client.Range("key", longTimeout, func(_ outside.RangeResult, err error) { errs <- err })
+			Eventually(errs, longTimeout).Should(Receive(BeNil()))
 		}
 		backup := store.Backup()
 		for range 2 {
--- a/internal/outside/etcd/service.go
+++ b/internal/outside/etcd/service.go
@@ -14,11 +14,11 @@
 	request := encodeTransaction(transaction)
 	run(c, timeout, done, func(ctx context.Context) (outside.TransactionResult, error) {
 		var response wire.TransactResponse
-		floor := c.rollbacks.begin()
+		floor := c.rollbacks.currentFloor()
 		if err := c.post(ctx, wire.PathTransact, request, &response); err != nil {
 			return outside.TransactionResult{}, err
 		}
-		c.rollbacks.answered(floor, int64(response.Header.Revision))
+		c.rollbacks.observe(floor, int64(response.Header.Revision))
 		return decodeTransaction(response), nil
 	})
 }
@@ -29,18 +29,18 @@
 	request := wire.RangeRequest{Key: key, RangeEnd: end}
 	run(c, timeout, done, func(ctx context.Context) (outside.RangeResult, error) {
 		var response wire.RangeResponse
-		floor := c.rollbacks.begin()
+		floor := c.rollbacks.currentFloor()
 		if err := c.post(ctx, wire.PathRange, request, &response); err != nil {
 			return outside.RangeResult{}, err
 		}
-		c.rollbacks.answered(floor, int64(response.Header.Revision))
+		c.rollbacks.observe(floor, int64(response.Header.Revision))
 		keyValues := decodeKeyValues(response.KeyValues)
 		return outside.RangeResult{Revision: int64(response.Header.Revision), KeyValues: keyValues}, nil
 	})
 }
 
-// GrantLease implements outside.KeyValueService. The time to live is rounded
-// up to whole seconds, which is all the protocol can carry.
+// GrantLease implements outside.KeyValueService. The time to live is rounded up to whole
+// seconds, the resolution of the protocol.
 func (c *Client) GrantLease(timeToLive, timeout time.Duration, done func(outside.LeaseID, error)) {
 	seconds := (timeToLive + time.Second - 1) / time.Second
 	request := wire.LeaseGrantRequest{TimeToLive: wire.Int64(seconds)}
@@ -50,7 +50,7 @@
 			return 0, err
 		}
 		if response.ID == 0 {
-			return 0, fmt.Errorf("%w: lease granted without an id", outside.ErrAmbiguous)
+			return 0, fmt.Errorf("%w: lease granted without an ID", outside.ErrAmbiguous)
 		}
 		return outside.LeaseID(response.ID), nil
 	})
@@ -59,7 +59,7 @@
 // KeepAlive implements outside.KeyValueService.
 func (c *Client) KeepAlive(lease outside.LeaseID, timeout time.Duration, done func(error)) {
 	request := wire.LeaseRequest{ID: wire.Int64(lease)}
-	runPlain(c, timeout, done, func(ctx context.Context) error {
+	runWithoutResult(c, timeout, done, func(ctx context.Context) error {
 		var response wire.StreamMessage[wire.LeaseResponse]
 		if err := c.post(ctx, wire.PathKeepAlive, request, &response); err != nil {
 			return err
@@ -86,13 +86,13 @@
 // RevokeLease implements outside.KeyValueService.
 func (c *Client) RevokeLease(lease outside.LeaseID, timeout time.Duration, done func(error)) {
 	request := wire.LeaseRequest{ID: wire.Int64(lease)}
-	runPlain(c, timeout, done, func(ctx context.Context) error {
+	runWithoutResult(c, timeout, done, func(ctx context.Context) error {
 		var response wire.LeaseResponse
 		return c.post(ctx, wire.PathLeaseRevoke, request, &response)
 	})
 }
 
-// run makes one call on a goroutine of its own.
+// run makes one call on its own goroutine and passes the result to done.
 func run[Result any](c *Client, timeout time.Duration, done func(Result, error), call func(context.Context) (Result, error)) {
 	c.start(func() {
 		ctx, cancel := context.WithTimeout(c.context, timeout)
@@ -102,7 +102,8 @@
 	})
 }
 
-func runPlain(c *Client, timeout time.Duration, done func(error), call func(context.Context) error) {
+// runWithoutResult is run for a call that returns only an error.
+func runWithoutResult(c *Client, timeout time.Duration, done func(error), call func(context.Context) error) {
 	run(c, timeout, func(_ struct{}, err error) { done(err) }, func(ctx context.Context) (struct{}, error) {
 		return struct{}{}, call(ctx)
 	})
--- a/internal/outside/etcd/status.go
+++ b/internal/outside/etcd/status.go
@@ -10,11 +10,11 @@
 	"github.com/hatchplank/hatchplank/internal/outside/etcd/wire"
 )
 
-// errServiceFailed is a failure reported by the service.
+// errServiceFailed matches each error response of the service.
 var errServiceFailed = errors.New("key-value service failed")
 
-// statusError is a response with an HTTP status other than OK. It matches the
-// errors of package outside that it proves.
+// statusError is a response with an HTTP status other than OK. Under errors.Is it matches the
+// errors of package outside that the response implies.
 type statusError struct {
 	status int
 	body   wire.Error
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("%s: HTTP status %d: %s", e.outcome(), e.status, e.body.Message)
 }
 
-// Is implements the match of errors.Is.
+// Is implements the interface used by errors.Is.
 func (e *statusError) Is(target error) bool {
 	switch target {
 	case outside.ErrLeaseNotFound:
@@ -37,6 +37,7 @@
 	}
 }
 
+// outcome returns outside.ErrNotApplied or outside.ErrAmbiguous.
 func (e *statusError) outcome() error {
 	if e.refused() {
 		return outside.ErrNotApplied
@@ -44,7 +45,7 @@
 	return outside.ErrAmbiguous
 }
 
-// refused reports whether the service has certainly not run the operation.
+// refused reports whether the service has certainly not executed the operation.
 func (e *statusError) refused() bool {
 	if e.status == http.StatusRequestTimeout {
 		return false
@@ -55,8 +56,9 @@
 	return e.status == http.StatusNotImplemented || isNoLeader(e.body)
 }
 
-// blamesRequest reports whether another endpoint would answer the same.
-func (e *statusError) blamesRequest() bool {
+// isRequestError reports whether the request is at fault, so that any other endpoint would
+// respond with the same error.
+func (e *statusError) isRequestError() bool {
 	return e.status >= http.StatusBadRequest && e.status < http.StatusInternalServerError
 }
 
--- a/internal/outside/etcd/watch.go
+++ b/internal/outside/etcd/watch.go
@@ -14,25 +14,25 @@
 )
 
 var (
-	errWatchSilent   = errors.New("watch went silent")
+	errWatchIdle     = errors.New("watch idle timeout exceeded")
 	errWatchCanceled = errors.New("watch canceled by the service")
 	errWatchTooLarge = errors.New("watch message too large")
 	errWatchOrder    = errors.New("watch events out of order")
 )
 
-// watch is one open watch.
+// watch is the state of one open watch.
 type watch struct {
 	client  *Client
 	handler outside.WatchHandler
-	// revision of the newest events given to the handler.
+	// revision is that of the latest events delivered to the handler.
 	revision int64
 
 	mutex   sync.Mutex
 	stopped bool
 }
 
-// Watch implements outside.KeyValueService. A call of the handler that began
-// before stop may end after it.
+// Watch implements outside.KeyValueService. A call of the handler that started before stop may
+// return after it.
 func (c *Client) Watch(prefix string, fromRevision int64, handler outside.WatchHandler) (stop func()) {
 	ctx, cancel := context.WithCancel(c.context)
 	watch := &watch{client: c, handler: handler, revision: fromRevision}
@@ -58,31 +58,32 @@
 	return w.stopped
 }
 
-// run reads the watch to its end and tells the handler, unless stopped.
+// run reads the watch until it ends and then calls the handler's Lost, unless stopped.
 func (w *watch) run(ctx context.Context, cancel context.CancelFunc, prefix string) {
-	silence := w.client.config.WatchIdleTimeout
-	silent := time.AfterFunc(silence, cancel)
-	defer silent.Stop()
-	heard := func() { silent.Reset(silence) }
+	idleTimeout := w.client.config.WatchIdleTimeout
+	idleTimer := time.AfterFunc(idleTimeout, cancel)
+	defer idleTimer.Stop()
+	received := func() { idleTimer.Reset(idleTimeout) }
 
 	base, index := w.client.endpoint()
-	err := w.read(ctx, base, prefix, heard)
+	err := w.read(ctx, base, prefix, received)
 	if w.isStopped() {
 		return
 	}
 	if ctx.Err() != nil && w.client.context.Err() == nil {
-		err = fmt.Errorf("%w: %w", errWatchSilent, err)
+		err = fmt.Errorf("%w: %w", errWatchIdle, err)
 	}
 	if !errors.Is(err, outside.ErrCompacted) {
-		w.client.avoidAfter(err, index)
+		w.client.avoidFailedEndpoint(err, index)
 	}
 	w.client.config.Logger.Info().Str("prefix", prefix).Int64("revision", w.revision).
 		Str("reason", err.Error()).Msg("watch lost")
 	w.handler.Lost(err)
 }
 
-// read opens the stream and delivers its messages; it returns why it ended.
-func (w *watch) read(ctx context.Context, base, prefix string, heard func()) error {
+// read opens the stream and delivers its messages, calling received after each. It returns the
+// error that ended the stream.
+func (w *watch) read(ctx context.Context, base, prefix string, received func()) error {
 	key, end := prefixRange(prefix)
 	create := wire.WatchCreateRequest{
 		Key:            key,
@@ -107,14 +108,14 @@
 		if err := decoder.Decode(&message); err != nil {
 			return err
 		}
-		heard()
+		received()
 		if err := w.deliver(message); err != nil {
 			return err
 		}
 	}
 }
 
-// deliver hands one message's events to the handler, revision by revision.
+// deliver passes the events of one message to the handler, in one call per revision.
 func (w *watch) deliver(message wire.StreamMessage[wire.WatchResponse]) error {
 	if message.Error != nil {
 		return fmt.Errorf("%w: %s", errWatchCanceled, message.Error.Message)
@@ -124,7 +125,7 @@
 	}
 	response := message.Result
 	if response.CompactRevision != 0 {
-		return fmt.Errorf("%w: at %d", outside.ErrCompacted, response.CompactRevision)
+		return fmt.Errorf("%w: compacted up to revision %d", outside.ErrCompacted, response.CompactRevision)
 	}
 	if response.Canceled {
 		return fmt.Errorf("%w: %s", errWatchCanceled, response.CancelReason)
@@ -139,6 +140,7 @@
 	return nil
 }
 
+// endOfRevision returns the index after the last event with the revision of events[start].
 func endOfRevision(events []wire.Event, start int) int {
 	end := start + 1
 	for end < len(events) && events[end].KeyValue.ModRevision == events[start].KeyValue.ModRevision {
@@ -150,7 +152,7 @@
 func (w *watch) deliverRevision(encoded []wire.Event) error {
 	revision := int64(encoded[0].KeyValue.ModRevision)
 	if revision <= w.revision {
-		return fmt.Errorf("%w: %d after %d", errWatchOrder, revision, w.revision)
+		return fmt.Errorf("%w: revision %d after revision %d", errWatchOrder, revision, w.revision)
 	}
 	w.revision = revision
 	events := make([]outside.WatchEvent, 0, len(encoded))
@@ -164,8 +166,8 @@
 	return nil
 }
 
-// boundedReader fails once it has read more than its limit since read was last
-// set to zero.
+// boundedReader fails with errWatchTooLarge once limit bytes have been read since read was
+// last reset.
 type boundedReader struct {
 	reader io.Reader
 	limit  int64
--- a/internal/outside/etcd/watch_test.go
+++ b/internal/outside/etcd/watch_test.go
@@ -11,7 +11,7 @@
 	"github.com/hatchplank/hatchplank/internal/outside"
 )
 
-// watcher passes on what a watch delivers.
+// watcher is a handler that sends the calls of a watch to channels.
 type watcher struct {
 	events chan outside.WatchEvent
 	lost   chan error
@@ -29,8 +29,8 @@
 
 func (w *watcher) Lost(err error) { w.lost <- err }
 
-// streaming sends messages and keeps the stream open.
-func streaming(messages string) http.HandlerFunc {
+// stream returns a handler that sends messages and keeps the stream open.
+func stream(messages string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		_, _ = io.WriteString(w, messages)
@@ -45,7 +45,7 @@
 `
 
 var _ = Describe("Watch", func() {
-	DescribeTable("delivers what came before and then is lost",
+	DescribeTable("delivers the events received before its failure and then is lost",
 		func(handler http.HandlerFunc, events int, expected any) {
 			watcher := newWatcher()
 			defer newClient(serve(handler)).Watch("a", 4, watcher)()
@@ -54,20 +54,20 @@
 			Expect(lost).To(MatchError(expected))
 			Expect(watcher.events).To(HaveLen(events))
 		},
-		Entry("silence", streaming(firstEvents), 2, ContainSubstring("silent")),
-		Entry("end of stream", answering(http.StatusOK, firstEvents), 2, io.EOF),
-		Entry("garbage", streaming(firstEvents+"<html>"), 2, ContainSubstring("invalid character")),
-		Entry("revision repeated", streaming(firstEvents+firstEvents), 2, ContainSubstring("out of order")),
-		Entry("error in the stream", streaming(firstEvents+`{"error":{"message":"moved"}}`), 2, ContainSubstring("moved")),
-		Entry("canceled", streaming(`{"result":{"canceled":true,"cancel_reason":"why"}}`), 0, ContainSubstring("why")),
-		Entry("compacted", streaming(`{"result":{"canceled":true,"compact_revision":"9"}}`), 0, outside.ErrCompacted),
-		Entry("message too large", streaming(`{"result":{"x":"`+strings.Repeat("y", 2*maxResponseBytes)), 0, ContainSubstring("too large")),
-		Entry("refused", answering(http.StatusServiceUnavailable, noLeader), 0, outside.ErrNotApplied),
+		Entry("silence", stream(firstEvents), 2, ContainSubstring("watch idle timeout exceeded")),
+		Entry("end of stream", respondWith(http.StatusOK, firstEvents), 2, io.EOF),
+		Entry("garbage", stream(firstEvents+"<html>"), 2, ContainSubstring("invalid character")),
+		Entry("revision repeated", stream(firstEvents+firstEvents), 2, ContainSubstring("out of order")),
+		Entry("error in the stream", stream(firstEvents+`{"error":{"message":"moved"}}`), 2, ContainSubstring("moved")),
+		Entry("canceled", stream(`{"result":{"canceled":true,"cancel_reason":"why"}}`), 0, ContainSubstring("why")),
+		Entry("compacted", stream(`{"result":{"canceled":true,"compact_revision":"9"}}`), 0, outside.ErrCompacted),
+		Entry("message too large", stream(`{"result":{"x":"`+strings.Repeat("y", 2*maxResponseBytes)), 0, ContainSubstring("too large")),
+		Entry("refused", respondWith(http.StatusServiceUnavailable, noLeader), 0, outside.ErrNotApplied),
 	)
 
-	It("is not lost by stop", func() {
+	It("does not call Lost after stop", func() {
 		watcher := newWatcher()
-		client := newClient(serve(streaming(firstEvents)))
+		client := newClient(serve(stream(firstEvents)))
 		stop := client.Watch("a", 4, watcher)
 		Eventually(watcher.events, longTimeout).Should(HaveLen(2))
 		stop()
--- a/internal/outside/etcd/wire/wire.go
+++ b/internal/outside/etcd/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire holds the messages of etcd v3's JSON interface, as far as
-// hatchplank uses them: keys and values in base64, 64-bit integers as decimal
-// strings, fields with their zero value left out.
+// Package wire defines those messages of the JSON gateway of etcd v3 that hatchplank uses. Keys
+// and values are encoded in base64 and 64-bit integers as decimal strings; fields with their
+// zero value are omitted.
 package wire
 
 import (
@@ -21,7 +21,7 @@
 	PathWatch         = "/v3/watch"
 )
 
-// Int64 is an integer written as a decimal string and read from a string or a
+// Int64 is an integer that is encoded as a decimal string and decoded from a string or a
 // number.
 type Int64 int64
 
@@ -46,7 +46,7 @@
 	Revision Int64 `json:"revision,omitempty"`
 }
 
-// KeyValue is one key as stored.
+// KeyValue is one stored key.
 type KeyValue struct {
 	Key            []byte `json:"key,omitempty"`
 	Value          []byte `json:"value,omitempty"`
@@ -55,13 +55,14 @@
 	Lease          Int64  `json:"lease,omitempty"`
 }
 
-// The only comparison used: the key's modification revision equals a number.
+// The target and result of the only comparison in use: the modification revision of the key
+// equals a given one.
 const (
 	TargetModRevision = "MOD"
 	ResultEqual       = "EQUAL"
 )
 
-// Compare is one condition of a transaction. A missing key has revision 0.
+// Compare is one condition of a transaction. A key that does not exist has revision 0.
 type Compare struct {
 	Result      string `json:"result,omitempty"`
 	Target      string `json:"target,omitempty"`
@@ -69,7 +70,7 @@
 	ModRevision Int64  `json:"mod_revision"`
 }
 
-// RequestOperation is one step of a transaction; exactly one field is set.
+// RequestOperation is one operation of a transaction. Exactly one field is set.
 type RequestOperation struct {
 	Put         *PutRequest    `json:"request_put,omitempty"`
 	DeleteRange *DeleteRequest `json:"request_delete_range,omitempty"`
@@ -88,32 +89,32 @@
 	Key []byte `json:"key,omitempty"`
 }
 
-// RangeRequest reads the keys from Key up to, but without, RangeEnd; without
-// RangeEnd only Key.
+// RangeRequest reads the keys from Key to RangeEnd, exclusive. Without RangeEnd it reads only
+// Key.
 type RangeRequest struct {
 	Key      []byte `json:"key,omitempty"`
 	RangeEnd []byte `json:"range_end,omitempty"`
 }
 
-// RangeResponse answers a RangeRequest.
+// RangeResponse is the response to a RangeRequest.
 type RangeResponse struct {
 	Header    Header     `json:"header"`
 	KeyValues []KeyValue `json:"kvs,omitempty"`
 }
 
-// TransactRequest runs Success if all compares hold, else Failure.
+// TransactRequest executes Success if all Compares hold, else Failure.
 type TransactRequest struct {
 	Compares []Compare          `json:"compare,omitempty"`
 	Success  []RequestOperation `json:"success,omitempty"`
 	Failure  []RequestOperation `json:"failure,omitempty"`
 }
 
-// ResponseOperation is the result of one step of a transaction.
+// ResponseOperation is the result of one operation of a transaction.
 type ResponseOperation struct {
 	Range *RangeResponse `json:"response_range,omitempty"`
 }
 
-// TransactResponse answers a TransactRequest.
+// TransactResponse is the response to a TransactRequest.
 type TransactResponse struct {
 	Header    Header              `json:"header"`
 	Succeeded bool                `json:"succeeded,omitempty"`
@@ -126,13 +127,13 @@
 	ID         Int64 `json:"ID,omitempty"`
 }
 
-// LeaseRequest names a lease to keep alive or to revoke.
+// LeaseRequest identifies a lease to keep alive or to revoke.
 type LeaseRequest struct {
 	ID Int64 `json:"ID,omitempty"`
 }
 
-// LeaseResponse answers the calls about leases. After a keep-alive a
-// TimeToLive of 0 means that the lease is gone.
+// LeaseResponse is the response to calls on leases. In the response to a keep-alive, a
+// TimeToLive of 0 means that the lease has expired or was revoked.
 type LeaseResponse struct {
 	Header     Header `json:"header"`
 	ID         Int64  `json:"ID,omitempty"`
@@ -144,7 +145,7 @@
 	Create *WatchCreateRequest `json:"create_request,omitempty"`
 }
 
-// WatchCreateRequest says what to watch, from StartRevision on.
+// WatchCreateRequest selects the keys to watch and the first revision to deliver.
 type WatchCreateRequest struct {
 	Key            []byte `json:"key,omitempty"`
 	RangeEnd       []byte `json:"range_end,omitempty"`
@@ -152,17 +153,17 @@
 	ProgressNotify bool   `json:"progress_notify,omitempty"`
 }
 
-// EventDelete is the type of a deletion; any other event is a put.
+// EventDelete is the type of a delete event; any other event is a put.
 const EventDelete = "DELETE"
 
-// Event is one change.
+// Event is one change of a key.
 type Event struct {
 	Type     string   `json:"type,omitempty"`
 	KeyValue KeyValue `json:"kv"`
 }
 
-// WatchResponse is one message of a watch; without events it is a progress
-// message.
+// WatchResponse is one message of a watch. Without events it is a progress notification or
+// reports the creation or cancellation of the watch.
 type WatchResponse struct {
 	Header          Header  `json:"header"`
 	WatchID         Int64   `json:"watch_id,omitempty"`
@@ -189,18 +190,17 @@
 	CodeUnavailable        = 14
 )
 
-// MessageNoLeader is the message of a service that refuses because no leader
-// is elected. It is the only unavailability that proves a write had no effect.
+// MessageNoLeader is the message with which the service refuses a call because no leader is
+// elected. Of the errors with CodeUnavailable only this one implies that a write had no effect.
 const MessageNoLeader = "etcdserver: no leader"
 
-// Error is the body of a failed call.
+// Error is the body of an error response.
 type Error struct {
 	Code    int    `json:"code,omitempty"`
 	Message string `json:"message,omitempty"`
 }
 
-// PrefixEnd returns the range end that makes a range cover all keys with the
-// prefix.
+// PrefixEnd returns the RangeEnd of the range of all keys with the prefix.
 func PrefixEnd(prefix []byte) []byte {
 	end := bytes.Clone(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
--- a/internal/outside/etcd/wire_test.go
+++ b/internal/outside/etcd/wire_test.go
@@ -13,7 +13,7 @@
 	"github.com/hatchplank/hatchplank/internal/outside/etcd"
 )
 
-// capture starts a server that keeps the last request and gives one answer.
+// capture starts a server that records the last request and always sends the same response.
 func capture(response string) (url string, path, body func() string) {
 	var mutex sync.Mutex
 	var lastPath, lastBody string
@@ -22,7 +22,7 @@
 		mutex.Lock()
 		lastPath, lastBody = r.URL.Path, string(content)
 		mutex.Unlock()
-		answering(http.StatusOK, response)(w, r)
+		respondWith(http.StatusOK, response)(w, r)
 	})
 	read := func(value *string) func() string {
 		return func() string {
@@ -34,8 +34,8 @@
 	return url, read(&lastPath), read(&lastBody)
 }
 
-// The bodies here are written out, so that they don't share a fault with the
-// types of package wire.
+// The bodies here are literals, independent of the types of package wire, so that an error in
+// those types can't go undetected.
 var _ = Describe("The published JSON form", func() {
 	It("is used for a transaction", func() {
 		url, path, body := capture(`{"header":{"cluster_id":"125","member_id":"138","revision":"9","raft_term":"2"},
@@ -60,7 +60,7 @@
 		}}))
 	})
 
-	DescribeTable("is used for each other call",
+	DescribeTable("is used for the other calls",
 		func(call func(*etcd.Client), response, expectedPath, expectedBody string) {
 			url, path, body := capture(response)
 			client := newClient(url)
