--- a/internal/outside/httpapi/time_left_test.go
+++ b/internal/outside/httpapi/time_left_test.go
@@ -7,7 +7,7 @@
 	"github.com/onsi/gomega"
 )
 
-var _ = ginkgo.DescribeTable("ParseTimeLeft",
+var _ = ginkgo.DescribeTable("the parsed time left",
 	func(value string, expected time.Duration, valid bool) {
 		left, err := ParseTimeLeft(value)
 		gomega.Expect(err == nil).To(gomega.Equal(valid))
