--- a/internal/outside/revision.go
+++ b/internal/outside/revision.go
@@ -1,9 +1,9 @@
 package outside
 
 // A service that is restored from a backup issues the same revisions again. The upper bits of
-// a revision therefore hold the era: the number of restores that the client has detected.
-// Revisions thus increase across restores, and revisions of different eras are never equal.
-// In era 0, before any restore, a revision equals the service's own.
+// a revision therefore hold the era, which counts the restores as far as the client can detect
+// them. Revisions thus increase across restores, and revisions of different eras are never
+// equal. In era 0, before any restore, a revision equals the service's own.
 
 // revisionBits is the number of low bits that hold the service's own revision: enough for
 // 1,000 writes per second for 34 years. Revisions of eras up to 8,191 fit into 53 bits, the
