--- a/internal/bounds/bounds_test.go
+++ b/internal/bounds/bounds_test.go
@@ -112,33 +112,33 @@
 })
 
 var _ = DescribeTable("the idle bound of one model",
-	func(model bounds.ModelUse, expected float64) {
-		Expect(bounds.Idle([]bounds.ModelUse{model}, 0, 1000, 0)).To(BeNumerically("~", expected, 1e-9))
+	func(model bounds.ModelWorkload, expected float64) {
+		Expect(bounds.Idle([]bounds.ModelWorkload{model}, 0, 1000, 0)).To(BeNumerically("~", expected, 1e-9))
 	},
-	Entry("never called", bounds.ModelUse{Accelerators: 2, FirstLoad: 10, NextLoad: 5}, 0.0),
-	Entry("called once: one load", bounds.ModelUse{Accelerators: 2, FirstLoad: 10, NextLoad: 5, Services: services(100)}, 20.0),
-	Entry("a short gap is kept", bounds.ModelUse{Accelerators: 1, FirstLoad: 10, NextLoad: 5, Services: services(100, 104)}, 13.0),
-	Entry("a long gap is paid by a load", bounds.ModelUse{Accelerators: 1, FirstLoad: 10, NextLoad: 5, Services: services(100, 300)}, 15.0),
-	Entry("a window joins two requests", bounds.ModelUse{
+	Entry("never called", bounds.ModelWorkload{Accelerators: 2, FirstLoad: 10, NextLoad: 5}, 0.0),
+	Entry("called once: one load", bounds.ModelWorkload{Accelerators: 2, FirstLoad: 10, NextLoad: 5, Requests: services(100)}, 20.0),
+	Entry("a short gap is kept", bounds.ModelWorkload{Accelerators: 1, FirstLoad: 10, NextLoad: 5, Requests: services(100, 104)}, 13.0),
+	Entry("a long gap is paid by a load", bounds.ModelWorkload{Accelerators: 1, FirstLoad: 10, NextLoad: 5, Requests: services(100, 300)}, 15.0),
+	Entry("a window joins two requests", bounds.ModelWorkload{
 		Accelerators: 1, FirstLoad: 10, NextLoad: 5,
-		Services: []bounds.Service{{At: 100, Window: 4, Seconds: 1}, {At: 104, Window: 4, Seconds: 1}},
+		Requests: []bounds.Request{{At: 100, Window: 4, Seconds: 1}, {At: 104, Window: 4, Seconds: 1}},
 	}, 10.0),
-	Entry("a minimum", bounds.ModelUse{Accelerators: 1, AlwaysUp: true, Services: services(100, 300)}, 998.0),
+	Entry("a minimum", bounds.ModelWorkload{Accelerators: 1, AlwaysLoaded: true, Requests: services(100, 300)}, 998.0),
 )
 
-func services(times ...float64) []bounds.Service {
-	var made []bounds.Service
+func services(times ...float64) []bounds.Request {
+	var made []bounds.Request
 	for _, at := range times {
-		made = append(made, bounds.Service{At: at, Seconds: 1})
+		made = append(made, bounds.Request{At: at, Seconds: 1})
 	}
 	return made
 }
 
 // wasted is the time that a schedule with a fixed keep-alive wastes, which
 // brings the model up at the end of the first request's window.
-func wasted(model *bounds.ModelUse, keepAlive float64) float64 {
+func wasted(model *bounds.ModelWorkload, keepAlive float64) float64 {
 	cost, upFrom, upUntil, busyUntil, load := 0.0, math.Inf(1), math.Inf(-1), math.Inf(-1), model.FirstLoad
-	for index, service := range model.Services {
+	for index, service := range model.Requests {
 		if service.At > upUntil {
 			if index > 0 {
 				cost += upUntil - busyUntil
@@ -146,7 +146,7 @@
 			cost += load
 			load = model.NextLoad
 			upFrom = service.At + service.Window
-			for _, later := range model.Services[index:] {
+			for _, later := range model.Requests[index:] {
 				if later.At <= upFrom {
 					upFrom = min(upFrom, later.At+later.Window)
 				}
@@ -165,20 +165,20 @@
 	It("is not beaten by any keep-alive", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2))
-			model := bounds.ModelUse{Accelerators: float64(1 + random.IntN(3)), NextLoad: float64(1 + random.IntN(20))}
+			model := bounds.ModelWorkload{Accelerators: float64(1 + random.IntN(3)), NextLoad: float64(1 + random.IntN(20))}
 			model.FirstLoad = model.NextLoad + float64(random.IntN(20))
 			at := 100.0
 			for range 1 + random.IntN(20) {
 				at += random.ExpFloat64() * 15
-				model.Services = append(model.Services, bounds.Service{
+				model.Requests = append(model.Requests, bounds.Request{
 					At: at, Window: float64(random.IntN(12)), Seconds: 1 + 5*random.Float64(),
 				})
 			}
-			bound := bounds.Idle([]bounds.ModelUse{model}, 0, 10000, 0)
+			bound := bounds.Idle([]bounds.ModelWorkload{model}, 0, 10000, 0)
 			for _, keepAlive := range []float64{0, 1, 5, 20, 100} {
 				NewWithT(t).Expect(bound).To(BeNumerically("<=", wasted(&model, keepAlive)+1e-6), "keep-alive %v of %+v", keepAlive, model)
 			}
-			NewWithT(t).Expect(bounds.Idle([]bounds.ModelUse{model}, 0, 10000, 1)).To(BeNumerically("<=", bound+1e-9))
+			NewWithT(t).Expect(bounds.Idle([]bounds.ModelWorkload{model}, 0, 10000, 1)).To(BeNumerically("<=", bound+1e-9))
 		})
 	})
 })
--- a/internal/bounds/idle.go
+++ b/internal/bounds/idle.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Service is one request that a schedule must serve.
-type Service struct {
+// Request is one request that a schedule must serve.
+type Request struct {
 	At float64
 	// Window is how long its start may be delayed for want of a model.
 	Window float64
@@ -15,30 +15,30 @@
 	Seconds float64
 }
 
-// ModelUse is what a base model, with its adapters, must serve.
-type ModelUse struct {
+// ModelWorkload is what a base model, with its adapters, must serve.
+type ModelWorkload struct {
 	// Accelerators that one replica occupies.
 	Accelerators float64
 	// FirstLoad and NextLoad are the least seconds of the first load and of a
 	// later one.
 	FirstLoad, NextLoad float64
-	// AlwaysUp: the table's minimum keeps a replica loaded.
-	AlwaysUp bool
-	Services []Service
+	// AlwaysLoaded: the table's minimum keeps a replica loaded.
+	AlwaysLoaded bool
+	Requests     []Request
 }
 
 // Idle returns a lower bound in accelerator seconds on the time in which
 // accelerators hold or receive a model and serve no request, between two times,
 // over all schedules that know all arrivals, start every request within its
 // window and serve it in its seconds. Exempt requests may start at any time.
-func Idle(models []ModelUse, from, to float64, exempt int) float64 {
+func Idle(models []ModelWorkload, from, to float64, exempt int) float64 {
 	total := 0.0
 	var exemptions []float64
 	for i := range models {
 		model := &models[i]
 		total += model.Accelerators * modelIdle(model, from, to)
-		if !model.AlwaysUp {
-			for range min(exempt, len(model.Services)) {
+		if !model.AlwaysLoaded {
+			for range min(exempt, len(model.Requests)) {
 				exemptions = append(exemptions, model.Accelerators*max(model.FirstLoad, model.NextLoad))
 			}
 		}
@@ -50,10 +50,10 @@
 	return max(0, total)
 }
 
-func modelIdle(model *ModelUse, from, to float64) float64 {
-	services := slices.Clone(model.Services)
-	slices.SortStableFunc(services, func(a, b Service) int { return cmp.Compare(a.At, b.At) })
-	if model.AlwaysUp {
+func modelIdle(model *ModelWorkload, from, to float64) float64 {
+	services := slices.Clone(model.Requests)
+	slices.SortStableFunc(services, func(a, b Request) int { return cmp.Compare(a.At, b.At) })
+	if model.AlwaysLoaded {
 		return alwaysUpIdle(services, from, to)
 	}
 	sessions := sessionSolver{services: services, load: model.NextLoad, least: make([]float64, len(services)+1)}
@@ -69,7 +69,7 @@
 
 // alwaysUpIdle is the time not covered by any request, each taken as long as it
 // could be.
-func alwaysUpIdle(services []Service, from, to float64) float64 {
+func alwaysUpIdle(services []Request, from, to float64) float64 {
 	idle, busyUntil := 0.0, from
 	for _, service := range services {
 		if service.At > busyUntil {
@@ -83,7 +83,7 @@
 // sessionSolver finds the cheapest division of a model's requests into sessions
 // in which a replica stays loaded.
 type sessionSolver struct {
-	services []Service
+	services []Request
 	load     float64
 	// least cost of serving the requests from an index on; -1: not known yet.
 	least []float64
--- a/internal/checker/calls.go
+++ b/internal/checker/calls.go
@@ -19,8 +19,8 @@
 	Deadline time.Time
 }
 
-// Final is the end of a call as its caller saw it.
-type Final struct {
+// CallOutcome is the end of a call as its caller saw it.
+type CallOutcome struct {
 	At     time.Time
 	Served bool
 	// Matches is set for served calls: the text is the complete expected one.
@@ -33,7 +33,7 @@
 
 type callState struct {
 	call  Call
-	final *Final
+	final *CallOutcome
 	ran   bool
 	ranOn outside.ServerID
 }
@@ -45,7 +45,7 @@
 }
 
 // Ended notes the end of a call; a second end of the same call is a breach.
-func (c *Checker) Ended(requestID string, final Final) {
+func (c *Checker) Ended(requestID string, final CallOutcome) {
 	state, known := c.calls[requestID]
 	if !known {
 		return
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -31,8 +31,8 @@
 	c.Sent(checker.Call{RequestID: "r", Node: node, SentAt: at(1), Deadline: at(11)})
 }
 
-func refused(code result.Code, ran result.Ran, seconds float64) checker.Final {
-	return checker.Final{At: at(seconds), Refusal: result.Refusal{Code: code, Ran: ran}}
+func refused(code result.Code, ran result.Ran, seconds float64) checker.CallOutcome {
+	return checker.CallOutcome{At: at(seconds), Refusal: result.Refusal{Code: code, Ran: ran}}
 }
 
 // probe is durable at 10 s and its operator told then.
@@ -44,10 +44,10 @@
 
 // untold is durable at 10 s, in an outage of the key-value service until 30 s.
 func untold(c *checker.Checker) {
-	c.KeyValueOut(at(9.9))
+	c.KeyValueUnavailable(at(9.9))
 	c.ChangeDurable("probe", "p", at(10), []string{node})
 	c.Durable(2, "p")
-	c.KeyValueBack(at(30))
+	c.KeyValueRestored(at(30))
 }
 
 func load(c *checker.Checker, server outside.ServerID, seconds float64) {
@@ -170,7 +170,7 @@
 	Entry("a call lost by a planned stop", checker.PromisePlannedStop, 1, func(c *checker.Checker) {
 		call(c)
 		c.PlannedStop(node, at(2))
-		c.Ended("r", checker.Final{At: at(3), LostWithNode: true})
+		c.Ended("r", checker.CallOutcome{At: at(3), LostWithNode: true})
 	}),
 	Entry("a call turned away that came before the planned stop", checker.PromisePlannedStop, 1, func(c *checker.Checker) {
 		call(c)
@@ -182,7 +182,7 @@
 	}),
 	Entry("an answer to another request", checker.PromiseOwnAnswer, 1, func(c *checker.Checker) {
 		call(c)
-		c.Ended("r", checker.Final{At: at(3), Served: true})
+		c.Ended("r", checker.CallOutcome{At: at(3), Served: true})
 	}),
 	Entry("a change in force too late", checker.PromiseTable, 1, func(c *checker.Checker) {
 		probe(c)
@@ -191,16 +191,16 @@
 	Entry("a change that a node never acted on when it is replaced", checker.PromiseTable, 1, func(c *checker.Checker) {
 		probe(c)
 		c.Probed("probe", node, false, at(29))
-		c.Forget("probe", at(30))
+		c.FinishChange("probe", at(30))
 	}),
 	Entry("no change in force soon after a partition", checker.PromiseTable, 0, func(c *checker.Checker) {
-		c.CutOff("node-0", at(5))
+		c.Partitioned("node-0", at(5))
 		probe(c)
 		c.Reconnected("node-0", at(40))
 		c.Probed("probe", node, true, at(44))
 	}),
 	Entry("no change missed over a partition that ends in a pause", checker.PromiseTable, 0, func(c *checker.Checker) {
-		c.CutOff("node-0", at(5))
+		c.Partitioned("node-0", at(5))
 		probe(c)
 		c.Reconnected("node-0", at(20))
 		c.Paused(node, at(24))
@@ -208,7 +208,7 @@
 		c.Probed("probe", node, true, at(44))
 	}),
 	Entry("a change missed after both", checker.PromiseTable, 1, func(c *checker.Checker) {
-		c.CutOff("node-0", at(5))
+		c.Partitioned("node-0", at(5))
 		probe(c)
 		c.Reconnected("node-0", at(20))
 		c.Paused(node, at(24))
@@ -224,7 +224,7 @@
 		c.Probed("probe", node, true, at(35.1))
 	}),
 	Entry("a change missed in an outage once its operator was told", checker.PromiseTable, 1, func(c *checker.Checker) {
-		c.KeyValueOut(at(10.1))
+		c.KeyValueUnavailable(at(10.1))
 		probe(c)
 		c.Probed("probe", node, true, at(15.1))
 	}),
--- a/internal/checker/spans.go
+++ b/internal/checker/spans.go
@@ -67,19 +67,19 @@
 // Resumed notes that a paused process goes on.
 func (c *Checker) Resumed(process string, at time.Time) { c.pauses[process].end(at) }
 
-// CutOff notes that a node was cut off from its peers, so that it may learn of
+// Partitioned notes that a node was cut off from its peers, so that it may learn of
 // table changes only after Reconnected. It must go on answering. The name is
 // the node's without its incarnation.
-func (c *Checker) CutOff(name string, at time.Time) { c.cutOff[name] = c.cutOff[name].begin(at) }
+func (c *Checker) Partitioned(name string, at time.Time) { c.cutOff[name] = c.cutOff[name].begin(at) }
 
 // Reconnected notes that a node hears its peers again.
 func (c *Checker) Reconnected(name string, at time.Time) { c.cutOff[name].end(at) }
 
-// KeyValueOut notes that the key-value service answers nobody.
-func (c *Checker) KeyValueOut(at time.Time) { c.keyValueOut = c.keyValueOut.begin(at) }
+// KeyValueUnavailable notes that the key-value service answers nobody.
+func (c *Checker) KeyValueUnavailable(at time.Time) { c.keyValueOut = c.keyValueOut.begin(at) }
 
-// KeyValueBack notes that the key-value service answers again.
-func (c *Checker) KeyValueBack(at time.Time) { c.keyValueOut.end(at) }
+// KeyValueRestored notes that the key-value service answers again.
+func (c *Checker) KeyValueRestored(at time.Time) { c.keyValueOut.end(at) }
 
 // nameOf returns the name in an identity of name and incarnation.
 func nameOf(identity string) string {
--- a/internal/checker/table.go
+++ b/internal/checker/table.go
@@ -80,8 +80,8 @@
 		"the change that added %s was not in force at %s after %s", row, node, delay)
 }
 
-// NodeGone notes that a node ended; it need not act on changes any more.
-func (c *Checker) NodeGone(node string) {
+// NodeStopped notes that a node ended; it need not act on changes any more.
+func (c *Checker) NodeStopped(node string) {
 	for _, state := range c.changes {
 		delete(state.missing, node)
 		delete(state.inForce, node)
@@ -91,13 +91,13 @@
 // finishTable checks that no change stayed without force.
 func (c *Checker) finishTable(now time.Time) {
 	for _, row := range slices.Sorted(maps.Keys(c.changes)) {
-		c.Forget(row, now)
+		c.FinishChange(row, now)
 	}
 }
 
-// Forget ends the checks of a change, before the row that it added is removed.
+// FinishChange ends the checks of a change, before the row that it added is removed.
 // Nodes that do not act on it yet are late if their grace is over.
-func (c *Checker) Forget(row string, at time.Time) {
+func (c *Checker) FinishChange(row string, at time.Time) {
 	state, known := c.changes[row]
 	if !known {
 		return
@@ -111,8 +111,8 @@
 	}
 }
 
-// TableBroken notes a durable edit that does not follow from the one before.
-func (c *Checker) TableBroken(err error) {
+// TableLogInvalid notes a durable edit that does not follow from the one before.
+func (c *Checker) TableLogInvalid(err error) {
 	c.report.Tallies[PromiseTable].check(false, "the table's log is broken: %v", err)
 }
 
--- a/internal/emulator/calls.go
+++ b/internal/emulator/calls.go
@@ -107,20 +107,20 @@
 // Finish implements gateway.Responder.
 func (c *call) Finish(answer gateway.Answer) {
 	matches := c.matches(answer)
-	c.deliver(checker.Final{Served: true, Matches: matches}, answer.Cold)
+	c.deliver(checker.CallOutcome{Served: true, Matches: matches}, answer.Cold)
 }
 
 // Refuse implements gateway.Responder.
 func (c *call) Refuse(refusal result.Refusal) {
-	c.deliver(checker.Final{Refusal: refusal}, false)
+	c.deliver(checker.CallOutcome{Refusal: refusal}, false)
 }
 
 // deliver brings the end to the caller.
-func (c *call) deliver(final checker.Final, cold bool) {
+func (c *call) deliver(final checker.CallOutcome, cold bool) {
 	c.book.world.Network.Deliver(c.node.Process, c.book.world.processes.callers, func() { c.end(final, cold) })
 }
 
-func (c *call) end(final checker.Final, cold bool) {
+func (c *call) end(final checker.CallOutcome, cold bool) {
 	world := c.book.world
 	final.At = world.Loop.Now()
 	world.Checker.Ended(c.request.ID, final)
@@ -163,7 +163,7 @@
 	for _, c := range lost {
 		b.world.Loop.AfterFunc(b.world.Options.Deployment.ClientDelay, func() {
 			if !c.ended {
-				c.end(checker.Final{LostWithNode: true}, false)
+				c.end(checker.CallOutcome{LostWithNode: true}, false)
 			}
 		})
 	}
--- a/internal/emulator/faults_keyvalue.go
+++ b/internal/emulator/faults_keyvalue.go
@@ -18,10 +18,10 @@
 	}
 	i.setKeyValue(func(f *keyvalue.Faults) { f.Outage = out })
 	if out {
-		i.world.Checker.KeyValueOut(i.world.Loop.Now())
+		i.world.Checker.KeyValueUnavailable(i.world.Loop.Now())
 		return
 	}
-	i.world.Checker.KeyValueBack(i.world.Loop.Now())
+	i.world.Checker.KeyValueRestored(i.world.Loop.Now())
 }
 
 func (i *injector) keyValueOutage() {
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -87,7 +87,7 @@
 	}
 	n.down = true
 	n.Process.Kill()
-	n.world.Checker.NodeGone(n.identity())
+	n.world.Checker.NodeStopped(n.identity())
 	n.world.calls.nodeDied(n)
 }
 
@@ -99,7 +99,7 @@
 	n.stopping = true
 	n.world.Checker.PlannedStop(n.identity(), n.world.Loop.Now())
 	// It turns probes away from now on, so that they show nothing any more.
-	n.world.Checker.NodeGone(n.identity())
+	n.world.Checker.NodeStopped(n.identity())
 	stopping := n.Node
 	n.Process.Run(func() {
 		stopping.Drain(func() {
--- a/internal/emulator/operator.go
+++ b/internal/emulator/operator.go
@@ -119,7 +119,7 @@
 	for _, row := range w.rows.Rows() {
 		if strings.HasPrefix(row.Name, probePrefix) {
 			edit.Removed = append(edit.Removed, row.Name)
-			w.Checker.Forget(row.Name, w.Loop.Now())
+			w.Checker.FinishChange(row.Name, w.Loop.Now())
 		}
 	}
 	o.probed = ""
--- a/internal/emulator/policies_figures.go
+++ b/internal/emulator/policies_figures.go
@@ -205,7 +205,7 @@
 // idle is the bound in accelerator seconds when every request may wait for its
 // model for a window, or as long as it did.
 func (b *boundInstance) idle(window float64, exempt int) float64 {
-	uses := map[string]*bounds.ModelUse{}
+	uses := map[string]*bounds.ModelWorkload{}
 	var order []string
 	for index := range b.run.Deployment.Rows {
 		row := &b.run.Deployment.Rows[index]
@@ -223,23 +223,23 @@
 			up = call.StartedAt
 		}
 		use := uses[call.Base]
-		use.Services = append(use.Services, bounds.Service{
+		use.Requests = append(use.Requests, bounds.Request{
 			At: call.SentAt, Window: max(window, up-call.SentAt), Seconds: call.EndedAt - up,
 		})
 	}
-	models := make([]bounds.ModelUse, 0, len(order))
+	models := make([]bounds.ModelWorkload, 0, len(order))
 	for _, name := range order {
 		models = append(models, *uses[name])
 	}
 	return bounds.Idle(models, b.run.SpanStart, b.run.End, exempt)
 }
 
-func (b *boundInstance) modelUse(row *table.Row) *bounds.ModelUse {
+func (b *boundInstance) modelUse(row *table.Row) *bounds.ModelWorkload {
 	perAccelerator := float64(b.engine.MemoryBytes) / float64(b.engine.Accelerators)
-	return &bounds.ModelUse{
+	return &bounds.ModelWorkload{
 		Accelerators: max(1, math.Ceil(float64(row.MemoryBytes)/perAccelerator)),
 		FirstLoad:    b.loadSeconds(row.WeightBytes, b.source(row.Name)) + b.engine.InitTime.Seconds(),
 		NextLoad:     b.loadSeconds(row.WeightBytes, outside.SourceMemory) + b.engine.InitTime.Seconds(),
-		AlwaysUp:     b.pinned[row.Name],
+		AlwaysLoaded: b.pinned[row.Name],
 	}
 }
--- a/internal/emulator/switches.go
+++ b/internal/emulator/switches.go
@@ -31,7 +31,7 @@
 	w.Faults.CutZone = zone
 	for _, n := range w.Nodes {
 		if n.Zone == zone {
-			w.Checker.CutOff(n.Name, now)
+			w.Checker.Partitioned(n.Name, now)
 		}
 	}
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -295,7 +295,7 @@
 	}
 	next, err := w.rows.Apply(entry.Delta)
 	if err != nil {
-		w.Checker.TableBroken(err)
+		w.Checker.TableLogInvalid(err)
 		return
 	}
 	w.rows = next
--- a/internal/load/verify.go
+++ b/internal/load/verify.go
@@ -201,7 +201,7 @@
 	}
 }
 
-func finalOf(try tryRecord, down bool) (final checker.Final, ended bool) {
+func finalOf(try tryRecord, down bool) (final checker.CallOutcome, ended bool) {
 	final.At = try.endedAt
 	switch try.outcome.kind {
 	case outcomeServed:
