--- a/internal/simulation/event_heap.go
+++ b/internal/simulation/event_heap.go
@@ -1,10 +1,12 @@
 package simulation
 
-// scheduledEvent is an event's place in the order of a loop. The order stands
-// beside the pointer, so that sifting does not follow pointers.
+// scheduledEvent is an event with its sort key. The key is stored beside the
+// pointer rather than in the event, so that sifting does not dereference
+// pointers.
 type scheduledEvent struct {
 	// at is the time since Epoch in nanoseconds.
-	at       int64
+	at int64
+	// sequence is the order of scheduling; it breaks ties of at.
 	sequence uint64
 	event    *event
 }
@@ -16,11 +18,11 @@
 	return e.sequence < other.sequence
 }
 
-// heapArity is the number of children of a heap's node. Four children stand in
-// one or two cache lines and halve the depth of a binary heap.
+// heapArity is the number of children of each heap node. Four children fit into
+// one or two cache lines and halve the depth compared with a binary heap.
 const heapArity = 4
 
-// eventHeap is a heap by time and sequence.
+// eventHeap is a min-heap ordered by time, then sequence.
 type eventHeap []scheduledEvent
 
 func (h *eventHeap) push(added scheduledEvent) {
@@ -38,7 +40,7 @@
 	events[position] = added
 }
 
-// pop removes and returns the first event; the heap must not be empty.
+// pop removes and returns the earliest event; the heap must not be empty.
 func (h *eventHeap) pop() scheduledEvent {
 	events := *h
 	first := events[0]
@@ -52,32 +54,33 @@
 	return first
 }
 
-// siftDown puts an event in place of the first one.
+// siftDown replaces the root by moved and restores the heap order.
 func (h *eventHeap) siftDown(moved scheduledEvent) {
 	events := *h
 	position := 0
 	for {
-		least := events.leastChild(position)
-		if least < 0 || !events[least].before(moved) {
+		earliest := events.earliestChild(position)
+		if earliest < 0 || !events[earliest].before(moved) {
 			break
 		}
-		events[position] = events[least]
-		position = least
+		events[position] = events[earliest]
+		position = earliest
 	}
 	events[position] = moved
 }
 
-// leastChild returns the first of a position's children, or -1 without any.
-func (h eventHeap) leastChild(position int) int {
+// earliestChild returns the index of the earliest child of a position, or -1 if
+// it has none.
+func (h eventHeap) earliestChild(position int) int {
 	first := position*heapArity + 1
 	if first >= len(h) {
 		return -1
 	}
-	least := first
+	earliest := first
 	for child := first + 1; child < min(first+heapArity, len(h)); child++ {
-		if h[child].before(h[least]) {
-			least = child
+		if h[child].before(h[earliest]) {
+			earliest = child
 		}
 	}
-	return least
+	return earliest
 }
--- a/internal/simulation/loop_test.go
+++ b/internal/simulation/loop_test.go
@@ -15,7 +15,7 @@
 }
 
 var _ = Describe("Loop", func() {
-	It("runs no event after the end when a stopped event comes before it", func() {
+	It("runs no event beyond the end time when a stopped event precedes it", func() {
 		loop := simulation.NewLoop(1)
 		ran := false
 		loop.AfterFunc(time.Second, func() {}).Stop()
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Conditions of the way between two processes.
+// Conditions of the link from one process to another.
 type Conditions struct {
-	// Delay one way, and the largest random addition to it.
+	// Delay is the one-way delay; Jitter bounds the random delay added to it.
 	Delay, Jitter time.Duration
 	// Loss and Duplication are probabilities from 0 to 1.
 	Loss, Duplication float64
-	// Late is the probability that a message takes LateDelay more, which also
-	// reorders it.
+	// Late is the probability that a message is delayed by LateDelay in
+	// addition, so that later messages can overtake it.
 	Late      float64
 	LateDelay time.Duration
 }
@@ -21,18 +21,19 @@
 type Network struct {
 	loop   *Loop
 	random *rand.Rand
-	// ConditionsOf returns the conditions of a way; it may be replaced.
+	// ConditionsOf returns the conditions of a link; it may be replaced.
 	ConditionsOf func(from, to string) Conditions
-	// Cut reports whether a way is cut; it may be replaced.
+	// Cut reports whether a link drops all messages; it may be replaced.
 	Cut func(from, to string) bool
-	// Messages, Lost, Duplicated and Late count what happened.
+	// Messages counts messages sent; Lost, Duplicated and Late count those that
+	// were dropped, delivered twice and delayed by LateDelay.
 	Messages, Lost, Duplicated, Late uint64
 }
 
 // DefaultDelay is the one-way delay of a new network.
 const DefaultDelay = time.Millisecond
 
-// NewNetwork returns a network with DefaultDelay everywhere and no faults.
+// NewNetwork returns a network with DefaultDelay on every link and no faults.
 func NewNetwork(loop *Loop) *Network {
 	return &Network{
 		loop:         loop,
@@ -42,17 +43,17 @@
 	}
 }
 
-// Deliver calls receive in the process to after the way's delay, or not at
-// all, or twice. Nothing tells the sender which.
+// Deliver runs receive in the destination process after the link's delay. The
+// message may be lost or duplicated, of which the sender is not notified.
 func (n *Network) Deliver(from, to *Process, receive func()) {
 	n.Messages++
 	conditions := n.ConditionsOf(from.Name, to.Name)
-	if n.Cut(from.Name, to.Name) || n.happens(conditions.Loss) {
+	if n.Cut(from.Name, to.Name) || n.chance(conditions.Loss) {
 		n.Lost++
 		return
 	}
 	n.schedule(to, conditions, receive)
-	if n.happens(conditions.Duplication) {
+	if n.chance(conditions.Duplication) {
 		n.Duplicated++
 		n.schedule(to, conditions, receive)
 	}
@@ -63,13 +64,14 @@
 	if conditions.Jitter > 0 {
 		delay += time.Duration(n.random.Int64N(int64(conditions.Jitter)))
 	}
-	if n.happens(conditions.Late) {
+	if n.chance(conditions.Late) {
 		n.Late++
 		delay += conditions.LateDelay
 	}
 	n.loop.AfterFunc(delay, func() { to.Run(receive) })
 }
 
-func (n *Network) happens(probability float64) bool {
+// chance returns true with the given probability.
+func (n *Network) chance(probability float64) bool {
 	return probability > 0 && n.random.Float64() < probability
 }
