--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -34,7 +34,7 @@
 	MarkLeaving(server outside.ServerID)
 }
 
-// Config of a Gateway.
+// Config configures a Gateway.
 type Config struct {
 	Clock  clock.Clock
 	Random *rand.Rand
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -35,7 +35,7 @@
 	Server   outside.ServerID
 	Slot     outside.SlotID
 	Revision table.Revision
-	// Reason for which the attempt failed; set if the request is retried.
+	// Reason is why the attempt failed, for EventRetried.
 	Reason string
 	// Refusal of a refused request.
 	Refusal result.Refusal
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -186,7 +186,7 @@
 
 func (c *caller) Chunk(chunk outside.Chunk) {
 	if c.finals > 0 {
-		// A chunk after the final call: make the checks of finals fail.
+		// No chunk may follow the final call: make the checks that finals is 1 fail.
 		c.finals += 100
 	}
 	c.chunks = append(c.chunks, chunk)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -48,9 +48,11 @@
 	// byPriority counts the waiting requests.
 	byPriority [priorities]int
 	// active are the rows with waiting, running or recent requests (activeWindow).
-	active   map[*rowDemand]bool
-	counts   counts
-	timers   timerHeap
+	active map[*rowDemand]bool
+	counts counts
+	timers timerHeap
+	// timer fires at armedFor, when the earliest item of timers is due or before; nil
+	// if it is not set.
 	timer    clock.Timer
 	armedFor time.Time
 }
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -205,8 +205,9 @@
 	Entry("displaces a request of a flow above its share", func(r *Request) { r.Model = "other" }, result.OK, result.OverShare),
 )
 
-// fullNode returns a harness whose node has queued as many requests for the test
-// model as the limits allow, with a row for a second model that has no server.
+// fullNode returns a harness whose node has queued three requests for the test
+// model, which must be as many as the limits allow. There is a row for a second
+// model; no server has either model.
 func fullNode(limits Limits) *harness {
 	h := newHarness(12, limits)
 	h.engines.serve = func(*engineCall) {}
--- a/internal/gateway/queue.go
+++ b/internal/gateway/queue.go
@@ -25,7 +25,7 @@
 	running    int
 	// virtualTime of the flow served last, as in weighted fair queueing.
 	virtualTime float64
-	// pass counts the dispatches.
+	// pass counts the calls of dispatch; see flow.blockedPass.
 	pass          uint64
 	service       serviceTimes
 	budget        retryBudget
@@ -57,8 +57,8 @@
 	waiting int
 	// virtualTime is the virtual start time of the flow's next request.
 	virtualTime float64
-	// blockedPass is the group's last dispatch in which no endpoint could take
-	// the flow's first request.
+	// blockedPass is the latest pass in which no endpoint could take the flow's
+	// first request; the flow is skipped for the rest of that pass.
 	blockedPass uint64
 	// oldest and newest waiting entry, by time of acceptance.
 	oldest, newest *entry
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -35,7 +35,8 @@
 	Waiting, Running int
 	// OldestWait is when the longest-waiting request was accepted; zero: none.
 	OldestWait time.Time
-	// MeanService is the mean duration of an attempt.
+	// MeanService is the exponentially weighted mean duration of an attempt; zero if
+	// none was measured.
 	MeanService time.Duration
 }
 
