--- a/internal/claims/acceptor.go
+++ b/internal/claims/acceptor.go
@@ -124,7 +124,8 @@
 	return true
 }
 
-// release removes the vote for an attempt that never ran, and reports whether there was one.
+// release removes the vote for a claim round that was not won or whose attempt never ran, and reports
+// whether there was one.
 func (a *acceptor) release(request ReleaseRequest) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -245,7 +246,8 @@
 	a.activate(configuration)
 }
 
-// insert adds an entry whose first vote is not older than those of the others.
+// insert adds an entry. Its first vote must not be older than those of the others, since expire
+// deletes keys in the order in which they were inserted.
 func (a *acceptor) insert(entry KeyRecord) {
 	stored := entry
 	a.entries[entry.Key] = &stored
--- a/internal/claims/claim.go
+++ b/internal/claims/claim.go
@@ -29,7 +29,8 @@
 	Status      int
 	ContentType string
 	Body        []byte
-	// Truncated: the body was longer than MaxOutcomeBytes and was dropped.
+	// Truncated: the response can't be replayed, since its body was longer than MaxOutcomeBytes or
+	// the gateway's own limit, or could not be encoded.
 	Truncated bool
 }
 
@@ -42,8 +43,9 @@
 // Result is the result of a claim.
 type Result struct {
 	Verdict Verdict
-	// Holder is the attempt that holds the key if the verdict is Granted, and the winning round of
-	// the attempt that holds it if the verdict is Denied; empty if no single holder is known.
+	// Holder is the claiming attempt's id if the verdict is Granted. If it is Denied, Holder is the
+	// holder id that the acceptors recorded, which is the other attempt's id with the number of its
+	// winning round appended, as in "attempt/1"; empty if no single holder is known.
 	Holder outside.AttemptID
 	// Outcome of the holder; nil if none is recorded.
 	Outcome *Outcome
--- a/internal/claims/messages.go
+++ b/internal/claims/messages.go
@@ -20,8 +20,8 @@
 	VoteConflict
 	// VoteWrongEpoch: the acceptor is not active in that configuration, or is sealed.
 	VoteWrongEpoch
-	// VoteQuarantined: the shard's votes were lost; new keys are refused for the quarantine period,
-	// in which old keys expire.
+	// VoteQuarantined: the shard's votes were lost; new keys are refused during Config.Quarantine,
+	// while keys whose votes were lost expire.
 	VoteQuarantined
 	// VoteFull: the acceptor holds the maximum number of keys.
 	VoteFull
@@ -39,14 +39,18 @@
 type VoteRequest struct {
 	Configuration ConfigurationID
 	Key           Key
-	Attempt       outside.AttemptID
-	Digest        uint64
+	// Attempt is the holder id of the claim round: the attempt's id and the number of the round.
+	Attempt outside.AttemptID
+	Digest  uint64
 }
 
 // VoteReply is the reply to a VoteRequest.
 type VoteReply struct {
-	Status  VoteStatus
-	Holder  outside.AttemptID
+	Status VoteStatus
+	// Holder is the key's holder id if the status is VoteGranted or VoteHeld; empty if the key is
+	// contested.
+	Holder outside.AttemptID
+	// Outcome of the holder; nil if none is recorded.
 	Outcome *Outcome
 }
 
@@ -54,16 +58,19 @@
 type RecordRequest struct {
 	Configuration ConfigurationID
 	Key           Key
-	Attempt       outside.AttemptID
-	Digest        uint64
-	Outcome       Outcome
+	// Attempt is the holder id of the round that won, as in VoteRequest.
+	Attempt outside.AttemptID
+	Digest  uint64
+	Outcome Outcome
 }
 
-// ReleaseRequest asks an acceptor to remove its vote for an attempt that never ran.
+// ReleaseRequest asks an acceptor to remove its vote for a claim round that was not won, or whose
+// attempt never ran.
 type ReleaseRequest struct {
 	Configuration ConfigurationID
 	Key           Key
-	Attempt       outside.AttemptID
+	// Attempt is the holder id of the round whose vote is removed, as in VoteRequest.
+	Attempt outside.AttemptID
 }
 
 // Acknowledgement is the reply to RecordRequest, ReleaseRequest, UnsealRequest and InstallRequest.
--- a/internal/claims/proposer.go
+++ b/internal/claims/proposer.go
@@ -19,7 +19,7 @@
 )
 
 // grantedRounds maps granted attempts to the rounds that won. The acceptors record an attempt under
-// the holder id of that round.
+// the holder id of that round, which Record and Release must therefore send.
 type grantedRounds struct {
 	mutex  sync.Mutex
 	rounds map[outside.AttemptID]grantedRound
--- a/internal/claims/reconfiguration.go
+++ b/internal/claims/reconfiguration.go
@@ -11,8 +11,8 @@
 
 // Delays and time limits of reconfigurations.
 const (
-	// rankDelay is the additional wait of each member in the order of rank, so that a shard is
-	// repaired by one member unless that member fails.
+	// rankDelay is how much longer each member waits than the member ranked before it, so that a
+	// shard is repaired by one member unless that member fails.
 	rankDelay = 3 * time.Second
 	// lossGracePeriod is how long too few of a shard's acceptors must have been members before its
 	// votes count as lost.
