--- a/internal/directory/backends.go
+++ b/internal/directory/backends.go
@@ -12,7 +12,7 @@
 // one back-end server.
 const DefaultBackEndConcurrency = 64
 
-// BackEnds has the servers of back-end pools, which are servers other than engines, from the
+// BackEnds holds the servers of back-end pools, which are servers other than engines, from the
 // machine list. It is safe for concurrent use.
 type BackEnds struct {
 	// concurrency is the limit of requests in flight for each server.
@@ -22,7 +22,7 @@
 	// version is that of the last machine listing applied.
 	version uint64
 	pools   map[string]*Snapshot
-	// leaving has the servers that get no new requests.
+	// leaving holds the servers that get no new requests.
 	leaving     map[outside.ServerID]bool
 	subscribers []func(pool string)
 }
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -46,7 +46,7 @@
 	Ownership membership.Ownership
 	// Cells returns the cells that may hold replicas of a base model.
 	Cells func(model string) []string
-	// Table has the base model of each adapter, and this node's revision of the table.
+	// Table gives the base model of each adapter, and this node's revision of the table.
 	Table table.View
 	// Gateway is this node's member id, PeerAddress the address to which updates are sent.
 	Gateway     string
@@ -64,11 +64,11 @@
 
 	mutex  sync.RWMutex
 	models map[string]*modelEndpoints
-	// epochs has the latest epoch of each cell.
+	// epochs holds the latest epoch of each cell.
 	epochs map[string]uint64
-	// leaving has the servers that get no new requests, with the time of the last mark.
+	// leaving holds the servers that get no new requests, with the time of the last mark.
 	leaving map[outside.ServerID]time.Time
-	// listed has the engines of the last machine listing.
+	// listed holds the engines of the last machine listing.
 	listed      map[outside.ServerID]bool
 	subscribers []func(model string)
 
@@ -81,7 +81,7 @@
 	nextRepeat     time.Time
 }
 
-// modelEndpoints has the endpoints of one base model: those that each cell reported, and the
+// modelEndpoints holds the endpoints of one base model: those that each cell reported, and the
 // snapshot that is merged from these.
 type modelEndpoints struct {
 	cells    map[string]*cellEndpoints
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -46,16 +46,16 @@
 	return []Demand{{Row: "tone", Waiting: 1}}
 }
 
-// fixture has a directory and a second simulated node, the owner of cell c1.
+// fixture holds a directory and a second simulated node, the owner of cell c1.
 type fixture struct {
 	loop      *simulation.Loop
 	network   *simulation.Network
 	directory *Directory
 	demand    *fakeDemand
 	owner     peer.Transport
-	// owners has the peer address of each cell's owner.
+	// owners holds the peer address of each cell's owner.
 	owners map[string]string
-	// reports are those that the owner received, changed the models that subscribers were
+	// reports are those that the owner received; changed lists the models that subscribers were
 	// notified of.
 	reports []DemandReport
 	changed []string
--- a/internal/directory/messages.go
+++ b/internal/directory/messages.go
@@ -40,7 +40,7 @@
 	// Sequence orders the reports of one gateway.
 	Sequence uint64
 	Demands  []Demand
-	// Known has the rows that the gateway has cached, of the models in Demands.
+	// Known lists the rows of the models in Demands that the gateway has cached.
 	Known []CachedRow
 }
 
@@ -58,7 +58,7 @@
 	Model   string
 	Version string
 	Slot    outside.SlotID
-	// Adapters has the adapters that are ready on the replica, in the owner's order.
+	// Adapters are the adapters that are ready on the replica, in the owner's order.
 	Adapters []string
 	// MaxBatch is the number of requests that run at once.
 	MaxBatch int
--- a/internal/directory/snapshot.go
+++ b/internal/directory/snapshot.go
@@ -11,8 +11,8 @@
 type Snapshot struct {
 	// Group is the name of the base model or pool.
 	Group string
-	// Endpoints has the endpoints of a model ordered by server and slot, those of a pool in
-	// the order of the machine listing.
+	// Endpoints of a model are ordered by server and slot, those of a pool as in the machine
+	// listing.
 	Endpoints []Endpoint
 	// ReadyAt is the estimated time at which the next replica is ready; zero if not known.
 	ReadyAt time.Time
--- a/internal/directory/update.go
+++ b/internal/directory/update.go
@@ -62,7 +62,8 @@
 	reported.receivedAt = d.config.Clock.Now()
 	reported.row = row
 	if update.Revision < d.config.Table.Revision() {
-		// The owner may refuse the row only because its older table doesn't have it yet.
+		// The owner may refuse the row only because its older table doesn't have it yet. Without
+		// a digest, the next report makes the owner send the row again.
 		reported.row.Refused = ""
 		reported.row.Digest = 0
 	}
@@ -128,7 +129,8 @@
 }
 
 // Invalidate removes an endpoint that refused a request because the model is not loaded there.
-// A newer update of the cell's owner may add it again.
+// A newer update of the cell's owner may add it again. The digests of the model's rows are reset,
+// so that the owners send them again after the next report.
 func (d *Directory) Invalidate(name string, server outside.ServerID, slot outside.SlotID) {
 	d.mutex.Lock()
 	entry := d.models[name]
--- a/internal/router/group.go
+++ b/internal/router/group.go
@@ -19,10 +19,10 @@
 // group is the router's state for one base model or pool.
 type group struct {
 	snapshot *directory.Snapshot
-	// targets has the state of each endpoint in the snapshot, in the same order.
+	// targets holds the state of each endpoint in the snapshot, in the same order.
 	targets []*target
-	// byKey has, besides these, targets that are not in the snapshot any more but have
-	// requests in flight or an open breaker.
+	// byKey holds the targets by key, including those that are no longer in the snapshot but
+	// have requests in flight or an open breaker.
 	byKey map[targetKey]*target
 }
 
--- a/internal/router/pipeline.go
+++ b/internal/router/pipeline.go
@@ -60,7 +60,7 @@
 	Pick(random *rand.Rand, candidates []Candidate) int
 }
 
-// Weights of the default scorers. Load outweighs each other scorer on its own.
+// Weights of the default scorers. The load scorer has more weight than any other single scorer.
 const (
 	loadWeight    = 4
 	versionWeight = 2
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -17,7 +17,7 @@
 // shardCount is the number of independently locked shards of the router.
 const shardCount = 16
 
-// Request has the properties of a request that the selection depends on.
+// Request holds the properties of a request that the selection depends on.
 type Request struct {
 	// Adapter is the adapter that must be ready on the endpoint; empty if none is needed.
 	Adapter string
@@ -164,7 +164,7 @@
 }
 
 // candidates returns the endpoints that accept the request now, in the shard's scratch space.
-// If there are none, the returned choice has the reason.
+// If there are none, the returned choice gives the reason.
 func (r *Router) candidates(shard *shard, group *group, request *Request, now time.Time) ([]Candidate, Choice) {
 	candidates := shard.scratch[:0]
 	choice := Choice{Verdict: NoEndpoint}
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -47,7 +47,7 @@
 	return state
 }
 
-// release counts one target less, and deletes the server's state with the last one.
+// release counts one target fewer, and deletes the server's state with the last one.
 func (s *serverStates) release(state *serverState) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
