--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -37,11 +37,11 @@
 	return &e.stream.routing
 }
 
-// refuseIfInfeasible refuses a request that would probably occupy an endpoint
-// without being finished, because an attempt may take longer than the time left,
-// provided that another request waits; and a request whose refusal time has come.
-// A request with more than half of its time left is kept. It reports whether the
-// request was refused.
+// refuseIfInfeasible refuses a request whose refusal time has come. It also refuses
+// one that would probably occupy an endpoint without being finished, because an
+// attempt may take longer than the time left, but only if another request of the
+// group waits and no more than half of the request's time is left. It reports
+// whether the request was refused.
 func (s *shard) refuseIfInfeasible(e *entry, section *criticalSection) bool {
 	left := e.refuseAt.Sub(section.now)
 	if left > 0 && (e.group.waiting < 2 || float64(left) >= e.group.service.high) {
--- a/internal/gateway/estimate.go
+++ b/internal/gateway/estimate.go
@@ -41,8 +41,9 @@
 	t.high = updateQuantile(t.high, sample, t.mean, highQuantile)
 }
 
-// updateQuantile returns the new estimate of a quantile after a sample: it moves up
-// or down by steps whose sizes are in balance at the quantile.
+// updateQuantile returns the new estimate of a quantile after a sample. The estimate
+// moves up in proportion to quantile if the sample is above it, otherwise down in
+// proportion to 1-quantile, so that the moves cancel out at the quantile.
 func updateQuantile(estimate, sample, scale, quantile float64) float64 {
 	if sample > estimate {
 		return estimate + quantileStep*scale*quantile
