--- a/cmd/hatchplank-node/node_test.go
+++ b/cmd/hatchplank-node/node_test.go
@@ -36,7 +36,8 @@
 machine: {processor_share: 0.4, link_mbps: 1000, descriptors: 4100}
 `
 
-// deployment is a simulated store, two model servers and a plain server, at which nodes run.
+// deployment is the environment of the nodes under test: a simulated store, two model servers and a
+// plain server.
 type deployment struct {
 	store   *keyvalue.Store
 	address string
--- a/internal/applier/drain.go
+++ b/internal/applier/drain.go
@@ -25,7 +25,8 @@
 	// quiescentSince is when the last gateway acknowledged, or the drain delay passed; zero before
 	// that. It moves on if requests are seen while acknowledgements are missing.
 	quiescentSince time.Time
-	// unloadOrdered: the unload command was issued and has not been found without effect.
+	// unloadOrdered: the unload command was issued, and no later state of the engine showed that
+	// it had no effect.
 	unloadOrdered bool
 }
 
@@ -76,8 +77,8 @@
 	}
 }
 
-// resetUnload makes an unload that was ordered without effect be ordered again. The phase must be
-// one that the engine reported while no order was in flight.
+// resetUnload clears unloadOrdered if the phase shows that the unload had no effect, so that it is
+// ordered again. The phase must be one that the engine reported while no order was in flight.
 func (d *drain) resetUnload(phase outside.ReplicaPhase) {
 	if d != nil && phase != outside.ReplicaUnloading {
 		d.unloadOrdered = false
--- a/internal/applier/random_faults_test.go
+++ b/internal/applier/random_faults_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// transferCell gives the cell to a random node, unless that is paused.
+// transferCell gives the cell to a random node, unless that node is paused.
 func (c *cluster) transferCell(random *rand.Rand) {
 	next := random.IntN(len(c.nodes))
 	if c.nodes[next].process.Paused() {
--- a/internal/edge/machine.go
+++ b/internal/edge/machine.go
@@ -6,8 +6,8 @@
 	// minDescriptors is the number of file descriptors that a node needs: the reserved
 	// ones, and as many again for connections to clients, servers and nodes.
 	minDescriptors = 2 * reservedDescriptors
-	// reservedDescriptors is the number of descriptors of a process that the users' platform
-	// does not leave for connections.
+	// reservedDescriptors is the number of a process's descriptors that are not available for
+	// connections on the users' platform.
 	reservedDescriptors = 200
 	// idleConnectionShare is the share of the descriptors for connections that idle
 	// connections to servers may occupy. The others are for clients, other nodes and requests
@@ -24,7 +24,7 @@
 
 // Machine describes the resources that a node may use.
 type Machine struct {
-	// ProcessorShare is the share of a core.
+	// ProcessorShare is the share of a processor core that the process gets.
 	ProcessorShare float64 `yaml:"processor_share"`
 	// LinkMbps is the machine's bandwidth in 10^6 bits per second.
 	LinkMbps float64 `yaml:"link_mbps"`
--- a/internal/edge/requestlog.go
+++ b/internal/edge/requestlog.go
@@ -104,7 +104,7 @@
 	return event
 }
 
-// addIdentity adds the identity that all tries of the same request share.
+// addIdentity adds the identity that a request shares with its client's retries of it.
 func addIdentity(event *zerolog.Event, request *forward.Request) *zerolog.Event {
 	if request.Identity.IsZero() {
 		return event
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -92,7 +92,7 @@
 	Machine Machine `yaml:"machine"`
 }
 
-// defaultQuotaWindow applies if the settings give none. It is the users' figure.
+// defaultQuotaWindow is the window used if the settings give none. The users specified it.
 const defaultQuotaWindow = 8 * time.Second
 
 // QuotaWindow returns the window over which a tenant's requests are summed.
--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -38,7 +38,7 @@
 type Request struct {
 	// Address of the server.
 	Address string
-	// Method decides whether the response has a body.
+	// Method is that of Head; whether the response has a body depends on it.
 	Method string
 	// Head is the encoded request line and headers, including the empty line.
 	Head []byte
--- a/internal/membership/heartbeat_probing.go
+++ b/internal/membership/heartbeat_probing.go
@@ -39,7 +39,7 @@
 	// failedRounds counts the consecutive probe rounds, each direct and then
 	// indirect, without an answer.
 	failedRounds int
-	// accusedHere: this node accused the member.
+	// accusedBySelf: this node accused the member.
 	accusedBySelf bool
 	// writing: an accusation or a removal is being written.
 	writing bool
--- a/internal/membership/heartbeat_removal.go
+++ b/internal/membership/heartbeat_removal.go
@@ -86,9 +86,9 @@
 }
 
 // interruptionEndedLocked extends the grace after an interruption of the watch,
-// which may have hit the watches of other nodes too. If the first read afterwards
-// succeeded, the interruption may have been brief, and the other nodes recover at
-// once as well; a longer one counts as an outage.
+// which may have hit the watches of other nodes too. If it lasted no longer than
+// the pause before the first read and that read may take, it may have been brief,
+// and the other nodes recover at once as well; a longer one counts as an outage.
 func (d *HeartbeatDetector) interruptionEndedLocked(now time.Time) {
 	if !d.interrupted {
 		return
--- a/internal/planner/desired.go
+++ b/internal/planner/desired.go
@@ -69,8 +69,8 @@
 	statistics := w.snapshot.Statistics.Row(w.snapshot.Rows[i].Name)
 	kept := 0
 	for k := range held {
-		// Without later use, the keep-alive runs from the last phase change of a current
-		// replica.
+		// The keep-alive starts when k+1 replicas were last needed, or at the last phase
+		// change of a current replica if that is later.
 		lastNeeded := w.rows[i].newestSince
 		if statistics != nil && k < len(statistics.Needed) && statistics.Needed[k].After(lastNeeded) {
 			lastNeeded = statistics.Needed[k]
--- a/internal/planner/load_ahead.go
+++ b/internal/planner/load_ahead.go
@@ -123,7 +123,7 @@
 }
 
 // worthLoadingAhead compares the expected cost of the cold start that is avoided with that
-// of idling until the session starts and, if the row is not called, until the hold ends.
+// of idling until the session starts and, if the row is not called, for LoadAheadHold more.
 func (w *workspace) worthLoadingAhead(i int, ahead time.Duration) bool {
 	row := &w.snapshot.Rows[i]
 	share := w.snapshot.Statistics.SessionShare(row.Name, row.Tenant)
--- a/internal/planner/loads.go
+++ b/internal/planner/loads.go
@@ -134,7 +134,8 @@
 	if !startsNow || (choice.source == outside.SourceRemote && w.remoteStarts <= 0) {
 		work.readyAt = earlier(work.readyAt, readyAt.Add(w.queueDelay(queued)))
 		if c.cold && choice.source == outside.SourceRemote && w.policy.limitRemote {
-			// The start is reserved, so that rows that are served already don't take it.
+			// The start is reserved for this row, so that rows with a ready replica don't
+			// use it first.
 			w.remoteStarts--
 		}
 		return false
--- a/internal/planner/retire.go
+++ b/internal/planner/retire.go
@@ -71,7 +71,8 @@
 }
 
 // unloadsBefore orders a row's replicas for unloading: old versions first, then replicas that
-// are not ready, then those with the fewest running requests, then the cheapest.
+// are not ready, then those with the fewest running requests, then the cheapest; ties are broken
+// by server.
 func (w *workspace) unloadsBefore(row *Row, a, b placedReplica) bool {
 	oldA, oldB := a.replica.Version != row.Version, b.replica.Version != row.Version
 	if oldA != oldB {
--- a/internal/planner/snapshot.go
+++ b/internal/planner/snapshot.go
@@ -88,7 +88,8 @@
 	Until time.Time
 }
 
-// Replica is one slot that is held, from the order to load it until its unload is confirmed.
+// Replica is a model on a server. It holds a slot from the order to load it until its unload is
+// confirmed.
 type Replica struct {
 	Model   string
 	Version string
