--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -202,7 +202,7 @@
 	return row
 }
 
-var _ = Describe("Openings", func() {
+var _ = Describe("Session starts", func() {
 	// In each of three rounds the same five models are called; then three of them again.
 	It("load the tenant's other models before their first call", func() {
 		snapshot := &planner.Snapshot{Now: start, Statistics: planner.NewStatistics()}
