--- a/internal/checker/calls.go
+++ b/internal/checker/calls.go
@@ -8,87 +8,90 @@
 	"github.com/hatchplank/hatchplank/internal/standin/record"
 )
 
-// Call is a request as its caller sent it.
+// Call is a request as the caller sent it.
 type Call struct {
 	RequestID string
-	// Node that received it, as name and incarnation.
+	// Node is the identity, name and incarnation, of the node that it was sent to.
 	Node string
-	// Key of a non-repeatable request; empty otherwise.
+	// Key is the key of a non-repeatable request; empty otherwise.
 	Key      string
 	SentAt   time.Time
 	Deadline time.Time
 }
 
-// CallOutcome is the end of a call as its caller saw it.
+// CallOutcome is the end of a call as its caller observed it.
 type CallOutcome struct {
 	At     time.Time
 	Served bool
-	// Matches is set for served calls: the text is the complete expected one.
+	// Matches reports, for served calls, that the complete expected text was
+	// received.
 	Matches bool
-	// Refusal of a call that was not served.
+	// Refusal is the refusal of a call that was not served.
 	Refusal result.Refusal
-	// LostWithNode: the connection broke because the node died.
+	// LostWithNode reports that the connection broke because the node crashed.
 	LostWithNode bool
 }
 
 type callState struct {
-	call  Call
-	final *CallOutcome
-	ran   bool
-	ranOn outside.ServerID
+	call    Call
+	outcome *CallOutcome
+	ran     bool
+	ranOn   outside.ServerID
 }
 
-// Sent notes a call.
+// Sent records that a call was sent.
 func (c *Checker) Sent(call Call) {
 	c.report.Requests++
 	c.calls[call.RequestID] = &callState{call: call}
 }
 
-// Ended notes the end of a call; a second end of the same call is a breach.
-func (c *Checker) Ended(requestID string, final CallOutcome) {
-	state, known := c.calls[requestID]
-	if !known {
+// Ended records the outcome of a call. A second outcome of the same call is a
+// violation; outcomes of calls that were not recorded by Sent are ignored.
+func (c *Checker) Ended(requestID string, outcome CallOutcome) {
+	state, found := c.calls[requestID]
+	if !found {
 		return
 	}
-	if state.final != nil {
+	if state.outcome != nil {
 		c.report.Tallies[PromiseAnswered].check(false, "request %s was answered twice", requestID)
 		return
 	}
-	state.final = &final
+	state.outcome = &outcome
 	c.checkPlannedStop(state)
 	switch {
-	case final.LostWithNode:
+	case outcome.LostWithNode:
 		c.report.LostWithNode++
 		return
-	case final.Served:
-		c.served(state)
+	case outcome.Served:
+		c.recordServed(state)
 	default:
 		c.report.Refused++
-		c.report.RefusedByCode[int(final.Refusal.Code)]++
+		c.report.RefusedByCode[int(outcome.Refusal.Code)]++
 	}
-	c.checkInTime(state)
+	c.checkDeadline(state)
 }
 
-func (c *Checker) served(state *callState) {
+func (c *Checker) recordServed(state *callState) {
 	c.report.Served++
-	c.report.Tallies[PromiseOwnAnswer].check(state.final.Matches, "request %s got another or an incomplete answer", state.call.RequestID)
-	if !state.final.Matches {
+	c.report.Tallies[PromiseOwnAnswer].check(state.outcome.Matches, "request %s got another or an incomplete answer", state.call.RequestID)
+	if !state.outcome.Matches {
 		c.report.Mismatched++
 	}
 }
 
-func (c *Checker) checkInTime(state *callState) {
-	due, open := c.due(state.call)
-	late := state.final.At.Sub(due)
-	c.report.Tallies[PromiseAnswered].check(open || late <= 0, "request %s was answered %s too late by %s (code %d)",
-		state.call.RequestID, late, state.call.Node, state.final.Refusal.Code)
+func (c *Checker) checkDeadline(state *callState) {
+	due, ongoing := c.due(state.call)
+	late := state.outcome.At.Sub(due)
+	c.report.Tallies[PromiseAnswered].check(ongoing || late <= 0, "request %s was answered %s too late by %s (code %d)",
+		state.call.RequestID, late, state.call.Node, state.outcome.Refusal.Code)
 }
 
-// due returns when a call must have ended. A node that was paused when the
-// request arrived counts the limit from its resumption, since it can't know how
-// long the request had lain there; one that was paused later must answer at
-// resumption. Open tells that the node is still paused.
-func (c *Checker) due(call Call) (due time.Time, open bool) {
+// due returns the time by which a call must have ended. A node that was paused
+// when the request arrived measures the limit from its resumption, since it
+// can't determine how long the request had been buffered; one that was paused
+// later must answer at resumption. If ongoing is true, the node is still paused
+// and nothing is due yet.
+func (c *Checker) due(call Call) (due time.Time, ongoing bool) {
 	due = call.Deadline.Add(c.limits.AnswerSlack)
 	arrival := call.SentAt.Add(c.limits.ClientDelay)
 	for _, pause := range c.pauses[call.Node] {
@@ -105,6 +108,7 @@
 	return due, false
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -112,63 +116,65 @@
 	return b
 }
 
-// PlannedStop notes that a node began a planned stop.
-func (c *Checker) PlannedStop(node string, at time.Time) { c.planned[node] = at }
+// PlannedStop records that a node began a planned shutdown.
+func (c *Checker) PlannedStop(node string, at time.Time) { c.plannedStops[node] = at }
 
-// checkPlannedStop: a call to a node that stops as planned must not be lost,
-// and none that had arrived before may be refused on account of the stop.
+// checkPlannedStop checks that a call to a node in a planned shutdown was not
+// lost and, if it arrived before the shutdown began, was not refused because of
+// it.
 func (c *Checker) checkPlannedStop(state *callState) {
-	stoppedAt, planned := c.planned[state.call.Node]
-	if !planned {
+	stoppedAt, found := c.plannedStops[state.call.Node]
+	if !found {
 		return
 	}
 	tally := &c.report.Tallies[PromisePlannedStop]
-	tally.check(!state.final.LostWithNode, "request %s was cut off by the planned stop of %s", state.call.RequestID, state.call.Node)
+	tally.check(!state.outcome.LostWithNode, "request %s was cut off by the planned stop of %s", state.call.RequestID, state.call.Node)
 	if !state.call.SentAt.Add(c.limits.ClientDelay).Before(stoppedAt) {
 		return
 	}
-	turnedAway := !state.final.Served && state.final.Refusal.Code == result.NodeDraining
-	tally.check(!turnedAway, "request %s was accepted before the planned stop of %s but turned away by it",
+	refusedByStop := !state.outcome.Served && state.outcome.Refusal.Code == result.NodeDraining
+	tally.check(!refusedByStop, "request %s was accepted before the planned stop of %s but refused because of it",
 		state.call.RequestID, state.call.Node)
 }
 
-// finishCall checks, at the end of the run, what may still change after a
-// call's end, and that it has one.
+// finishCall checks, at the end of the run, that a call has an outcome, and that
+// a call refused as not run did not run, even after its refusal.
 func (c *Checker) finishCall(state *callState, now time.Time) {
-	if state.final == nil {
-		due, open := c.due(state.call)
-		if !open && now.After(due) {
+	if state.outcome == nil {
+		due, ongoing := c.due(state.call)
+		if !ongoing && now.After(due) {
 			c.report.Unanswered++
 			c.report.Tallies[PromiseAnswered].check(false, "request %s to %s was never answered", state.call.RequestID, state.call.Node)
 		}
 		return
 	}
-	final := state.final
-	if final.Served || final.LostWithNode || final.Refusal.Ran != result.RanNo {
+	outcome := state.outcome
+	if outcome.Served || outcome.LostWithNode || outcome.Refusal.Ran != result.RanNo {
 		return
 	}
 	c.report.Tallies[PromiseNotRun].check(!state.ran, "request %s was refused as not run (code %d) but ran on %s",
-		state.call.RequestID, final.Refusal.Code, state.ranOn)
+		state.call.RequestID, outcome.Refusal.Code, state.ranOn)
 }
 
 func (c *Checker) observeRun(event record.Event) {
-	if state, known := c.calls[event.RequestID]; known {
+	if state, found := c.calls[event.RequestID]; found {
 		state.ran = true
 		state.ranOn = event.Server
 	}
 	if event.Key == "" {
 		return
 	}
-	c.keyRuns[event.Key]++
-	doubled := c.keyRuns[event.Key] > 1
-	c.report.Tallies[PromiseOnce].check(!doubled, "key %s ran %d times, last on %s for request %s",
-		event.Key, c.keyRuns[event.Key], event.Server, event.RequestID)
-	if doubled {
+	c.runsByKey[event.Key]++
+	repeated := c.runsByKey[event.Key] > 1
+	c.report.Tallies[PromiseOnce].check(!repeated, "key %s ran %d times, last on %s for request %s",
+		event.Key, c.runsByKey[event.Key], event.Server, event.RequestID)
+	if repeated {
 		c.report.Doubled++
 	}
 }
 
-// reasonUnloaded is the stand-in's word for a stream cut by a planned unload.
+// reasonUnloaded is the reason that the stand-in engine records for a stream
+// truncated by a planned unload.
 const reasonUnloaded = "unloaded"
 
 func (c *Checker) observeTruncated(event record.Event) {
@@ -179,6 +185,6 @@
 		event.RequestID, event.Model, event.Server)
 }
 
-// observeUnload counts a planned unload; requests that it cuts off are breaches
-// seen by observeTruncated.
+// observeUnload counts a planned unload as a check; observeTruncated counts the
+// requests that it truncates as violations.
 func (c *Checker) observeUnload() { c.report.Tallies[PromisePlannedStop].Checks++ }
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -10,21 +10,22 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// Limits are the spans that the promises leave open.
+// Limits are the durations that the promises don't fix.
 type Limits struct {
-	// AnswerSlack is added to a deadline. The emulator needs none: callers see
-	// answers at exact times.
+	// AnswerSlack is added to a deadline. The emulator needs none, since its
+	// callers receive answers at exact virtual times.
 	AnswerSlack time.Duration
 	// ClientDelay is the one-way delay between callers and nodes.
 	ClientDelay time.Duration
-	// LeavingGrace is how long a machine that readers of the machine list can
-	// see leaving may still get new work.
+	// LeavingGrace is how long a machine may still receive new work once the
+	// machine list shows readers that it is leaving.
 	LeavingGrace time.Duration
-	// TableGrace is how long an accepted change may take to be in force.
+	// TableGrace is how long an accepted table change may take to be applied on
+	// all nodes.
 	TableGrace time.Duration
 }
 
-// DefaultLimits are used by the experiments.
+// DefaultLimits returns the limits that the experiments use.
 func DefaultLimits() Limits {
 	return Limits{
 		ClientDelay:  time.Millisecond,
@@ -33,53 +34,56 @@
 	}
 }
 
-// Checker takes in everything that was seen of a run, in order of time, and
-// counts breaches. It is not safe for concurrent use.
+// Checker receives all observations of a run in order of time and counts
+// violations of the promises. It is not safe for concurrent use.
 type Checker struct {
 	limits Limits
 	report Report
 
-	calls    map[string]*callState
-	replicas map[string]map[outside.ServerID]bool
-	allowed  map[string][]allowance
-	leaving  map[outside.ServerID]*departure
-	keyRuns  map[string]int
-	changes  map[string]*change
-	// pauses by node identity or server, cutOff by node name.
-	pauses, cutOff map[string]spans
-	keyValueOut    spans
-	// planned holds when nodes began a planned stop.
-	planned map[string]time.Time
+	calls         map[string]*callState
+	replicas      map[string]map[outside.ServerID]bool
+	replicaLimits map[string][]replicaLimit
+	leaving       map[outside.ServerID]*leavingMachine
+	runsByKey     map[string]int
+	changes       map[string]*change
+	// pauses is keyed by node identity or server, partitions by node name.
+	pauses, partitions map[string]outages
+	keyValueOutages    outages
+	// plannedStops maps the identities of nodes to the start of their planned
+	// shutdown.
+	plannedStops map[string]time.Time
 
 	listLag time.Duration
-	// messageDelay in force, and the one before, which counts until delayedUntil.
-	messageDelay, delayBefore time.Duration
-	delayedUntil              time.Time
+	// messageDelay is the present additional delay. Messages sent under
+	// previousDelay may still arrive until previousDelayUntil.
+	messageDelay, previousDelay time.Duration
+	previousDelayUntil          time.Time
 
-	durable      map[table.Revision]string
-	acknowledged []acknowledgement
-	rejected     []string
+	durableTokens map[table.Revision]string
+	acknowledged  []acknowledgement
+	rejected      []string
 }
 
-// New returns a checker.
+// New returns a checker without observations.
 func New(limits Limits) *Checker {
 	return &Checker{
-		limits:   limits,
-		report:   Report{RefusedByCode: map[int]uint64{}},
-		calls:    map[string]*callState{},
-		replicas: map[string]map[outside.ServerID]bool{},
-		allowed:  map[string][]allowance{},
-		leaving:  map[outside.ServerID]*departure{},
-		keyRuns:  map[string]int{},
-		changes:  map[string]*change{},
-		pauses:   map[string]spans{},
-		cutOff:   map[string]spans{},
-		planned:  map[string]time.Time{},
-		durable:  map[table.Revision]string{},
+		limits:        limits,
+		report:        Report{RefusedByCode: map[int]uint64{}},
+		calls:         map[string]*callState{},
+		replicas:      map[string]map[outside.ServerID]bool{},
+		replicaLimits: map[string][]replicaLimit{},
+		leaving:       map[outside.ServerID]*leavingMachine{},
+		runsByKey:     map[string]int{},
+		changes:       map[string]*change{},
+		pauses:        map[string]outages{},
+		partitions:    map[string]outages{},
+		plannedStops:  map[string]time.Time{},
+		durableTokens: map[table.Revision]string{},
 	}
 }
 
-// Finish ends the run at a time and returns the report.
+// Finish runs the checks that are due at the end of the run and returns the
+// report.
 func (c *Checker) Finish(now time.Time) Report {
 	for _, requestID := range slices.Sorted(maps.Keys(c.calls)) {
 		c.finishCall(c.calls[requestID], now)
@@ -89,7 +93,7 @@
 	return c.report
 }
 
-// Observe takes in one event of the stand-ins' record.
+// Observe processes one event of the stand-ins' record.
 func (c *Checker) Observe(event record.Event) {
 	switch event.Kind {
 	case record.KindLoadStarted, record.KindLoadFailed, record.KindUnloadFinished, record.KindProcessDied, record.KindProcessStarted:
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -26,7 +26,7 @@
 
 const node = "node-0#1"
 
-// call is sent at 1 s with a limit of 10 s.
+// call sends a call at 1 s with a time limit of 10 s.
 func call(c *checker.Checker) {
 	c.Sent(checker.Call{RequestID: "r", Node: node, SentAt: at(1), Deadline: at(11)})
 }
@@ -35,15 +35,16 @@
 	return checker.CallOutcome{At: at(seconds), Refusal: result.Refusal{Code: code, Ran: ran}}
 }
 
-// probe is durable at 10 s and its operator told then.
+// probe makes a change durable and acknowledges it, both at 10 s.
 func probe(c *checker.Checker) {
 	c.ChangeDurable("probe", "p", at(10), []string{node})
 	c.Durable(2, "p")
 	c.Acknowledged(1, 2, "p", at(10))
 }
 
-// untold is durable at 10 s, in an outage of the key-value service until 30 s.
-func untold(c *checker.Checker) {
+// unacknowledged makes a change durable at 10 s without acknowledging it, in an
+// outage of the key-value service that lasts until 30 s.
+func unacknowledged(c *checker.Checker) {
 	c.KeyValueUnavailable(at(9.9))
 	c.ChangeDurable("probe", "p", at(10), []string{node})
 	c.Durable(2, "p")
@@ -58,18 +59,18 @@
 	c.TableAccepted([]table.Row{{Name: "m", Kind: table.KindModel, MaxReplicas: replicas}}, at(seconds))
 }
 
-func leaves(c *checker.Checker) {
+func announceLeaving(c *checker.Checker) {
 	c.Observe(record.Event{Kind: record.KindMachinePhase, At: at(10), Server: "s", Phase: string(outside.MachineLeaving)})
 }
 
-func received(c *checker.Checker, seconds float64) {
+func receiveWork(c *checker.Checker, seconds float64) {
 	c.Observe(record.Event{Kind: record.KindGenerationReceived, At: at(seconds), Server: "s", Attempt: node + "/1"})
 }
 
 var _ = DescribeTable("The checker reports",
-	func(promise checker.Promise, violations int, happens func(*checker.Checker)) {
+	func(promise checker.Promise, violations int, scenario func(*checker.Checker)) {
 		c := checker.New(checker.DefaultLimits())
-		happens(c)
+		scenario(c)
 		report := c.Finish(at(100))
 		Expect(report.Tallies[promise].Violations).To(BeEquivalentTo(violations))
 		Expect(report.Violations()).To(BeEquivalentTo(violations))
@@ -83,13 +84,13 @@
 		call(c)
 		c.Ended("r", refused(result.DeadlinePassed, result.RanUnknown, 11.001))
 	}),
-	Entry("no late answer of a node that was paused at the deadline", checker.PromiseAnswered, 0, func(c *checker.Checker) {
+	Entry("no late answer from a node that was paused at the deadline", checker.PromiseAnswered, 0, func(c *checker.Checker) {
 		call(c)
 		c.Paused(node, at(5))
 		c.Resumed(node, at(20))
 		c.Ended("r", refused(result.DeadlinePassed, result.RanUnknown, 20.001))
 	}),
-	Entry("an answer later than a pause explains", checker.PromiseAnswered, 1, func(c *checker.Checker) {
+	Entry("an answer later than the pause allows", checker.PromiseAnswered, 1, func(c *checker.Checker) {
 		call(c)
 		c.Paused(node, at(5))
 		c.Resumed(node, at(20))
@@ -127,79 +128,79 @@
 		load(c, "s", 24)
 		load(c, "t", 25.1)
 	}),
-	Entry("no replica loaded before all knew that the limit was lowered", checker.PromiseReplicas, 0, func(c *checker.Checker) {
+	Entry("no replica loaded within the grace period after the limit was lowered", checker.PromiseReplicas, 0, func(c *checker.Checker) {
 		limit(c, 2, 0)
 		limit(c, 1, 20)
 		load(c, "s", 24)
 		load(c, "t", 25)
 	}),
-	Entry("memory committed beyond what there is", checker.PromiseMemory, 1, func(c *checker.Checker) {
+	Entry("memory committed beyond the capacity", checker.PromiseMemory, 1, func(c *checker.Checker) {
 		c.Observe(record.Event{Kind: record.KindMemory, Overcommitted: true})
 	}),
-	Entry("work for a machine that was seen leaving", checker.PromiseLeaving, 1, func(c *checker.Checker) {
-		leaves(c)
-		received(c, 15.1)
+	Entry("work for a machine that the list shows as leaving", checker.PromiseLeaving, 1, func(c *checker.Checker) {
+		announceLeaving(c)
+		receiveWork(c, 15.1)
 	}),
 	Entry("no work for a machine that the list shows as leaving later", checker.PromiseLeaving, 0, func(c *checker.Checker) {
 		c.MachineListLag(8*time.Second, at(5))
-		leaves(c)
-		received(c, 22)
+		announceLeaving(c)
+		receiveWork(c, 22)
 	}),
 	Entry("work once the list's lag has ended", checker.PromiseLeaving, 1, func(c *checker.Checker) {
 		c.MachineListLag(8*time.Second, at(5))
-		leaves(c)
+		announceLeaving(c)
 		c.MachineListLag(0, at(12))
-		received(c, 17.1)
+		receiveWork(c, 17.1)
 	}),
 	Entry("no work for a machine shown as leaving too shortly to be read before the lag grew", checker.PromiseLeaving, 0, func(c *checker.Checker) {
-		leaves(c)
+		announceLeaving(c)
 		c.MachineListLag(8*time.Second, at(10.9))
-		received(c, 22)
+		receiveWork(c, 22)
 	}),
 	Entry("work for a machine shown as leaving long enough before the lag grew", checker.PromiseLeaving, 1, func(c *checker.Checker) {
-		leaves(c)
+		announceLeaving(c)
 		c.MachineListLag(8*time.Second, at(11.1))
-		received(c, 15.1)
+		receiveWork(c, 15.1)
 	}),
-	Entry("no work that was long on its way", checker.PromiseLeaving, 0, func(c *checker.Checker) {
-		leaves(c)
+	Entry("no work that was delayed in transit", checker.PromiseLeaving, 0, func(c *checker.Checker) {
+		announceLeaving(c)
 		c.MessageDelay(3*time.Second, at(11))
 		c.MessageDelay(0, at(14))
-		received(c, 16.5)
+		receiveWork(c, 16.5)
 	}),
 	Entry("a call lost by a planned stop", checker.PromisePlannedStop, 1, func(c *checker.Checker) {
 		call(c)
 		c.PlannedStop(node, at(2))
 		c.Ended("r", checker.CallOutcome{At: at(3), LostWithNode: true})
 	}),
-	Entry("a call turned away that came before the planned stop", checker.PromisePlannedStop, 1, func(c *checker.Checker) {
+	Entry("a call refused because of a planned stop that began after its arrival", checker.PromisePlannedStop, 1, func(c *checker.Checker) {
 		call(c)
 		c.PlannedStop(node, at(2))
 		c.Ended("r", refused(result.NodeDraining, result.RanUnknown, 3))
 	}),
-	Entry("a stream cut off by an unload", checker.PromisePlannedStop, 1, func(c *checker.Checker) {
+	Entry("a stream truncated by an unload", checker.PromisePlannedStop, 1, func(c *checker.Checker) {
 		c.Observe(record.Event{Kind: record.KindGenerationTruncated, Reason: "unloaded"})
 	}),
 	Entry("an answer to another request", checker.PromiseOwnAnswer, 1, func(c *checker.Checker) {
 		call(c)
 		c.Ended("r", checker.CallOutcome{At: at(3), Served: true})
 	}),
-	Entry("a change in force too late", checker.PromiseTable, 1, func(c *checker.Checker) {
+	Entry("a change applied too late", checker.PromiseTable, 1, func(c *checker.Checker) {
 		probe(c)
 		c.Probed("probe", node, true, at(15.1))
 	}),
-	Entry("a change that a node never acted on when it is replaced", checker.PromiseTable, 1, func(c *checker.Checker) {
+	Entry("a change that a node has not applied when its row is removed", checker.PromiseTable, 1, func(c *checker.Checker) {
 		probe(c)
 		c.Probed("probe", node, false, at(29))
 		c.FinishChange("probe", at(30))
 	}),
-	Entry("no change in force soon after a partition", checker.PromiseTable, 0, func(c *checker.Checker) {
+	Entry("no change applied soon after a partition", checker.PromiseTable, 0, func(c *checker.Checker) {
 		c.Partitioned("node-0", at(5))
 		probe(c)
 		c.Reconnected("node-0", at(40))
 		c.Probed("probe", node, true, at(44))
 	}),
-	Entry("no change missed over a partition that ends in a pause", checker.PromiseTable, 0, func(c *checker.Checker) {
+	Entry("no change delayed by a partition and a pause that follows it", checker.PromiseTable, 0, func(c *checker.Checker) {
 		c.Partitioned("node-0", at(5))
 		probe(c)
 		c.Reconnected("node-0", at(20))
@@ -207,7 +208,7 @@
 		c.Resumed(node, at(40))
 		c.Probed("probe", node, true, at(44))
 	}),
-	Entry("a change missed after both", checker.PromiseTable, 1, func(c *checker.Checker) {
+	Entry("a change applied too late after a partition and a pause", checker.PromiseTable, 1, func(c *checker.Checker) {
 		c.Partitioned("node-0", at(5))
 		probe(c)
 		c.Reconnected("node-0", at(20))
@@ -215,15 +216,15 @@
 		c.Resumed(node, at(40))
 		c.Probed("probe", node, true, at(45.1))
 	}),
-	Entry("no change that nobody was told of before an outage ended", checker.PromiseTable, 0, func(c *checker.Checker) {
-		untold(c)
+	Entry("no unacknowledged change applied soon after a key-value outage", checker.PromiseTable, 0, func(c *checker.Checker) {
+		unacknowledged(c)
 		c.Probed("probe", node, true, at(35))
 	}),
-	Entry("a change missed after the outage", checker.PromiseTable, 1, func(c *checker.Checker) {
-		untold(c)
+	Entry("an unacknowledged change applied too late after the outage", checker.PromiseTable, 1, func(c *checker.Checker) {
+		unacknowledged(c)
 		c.Probed("probe", node, true, at(35.1))
 	}),
-	Entry("a change missed in an outage once its operator was told", checker.PromiseTable, 1, func(c *checker.Checker) {
+	Entry("an acknowledged change applied too late in an outage", checker.PromiseTable, 1, func(c *checker.Checker) {
 		c.KeyValueUnavailable(at(10.1))
 		probe(c)
 		c.Probed("probe", node, true, at(15.1))
--- a/internal/checker/leaving.go
+++ b/internal/checker/leaving.go
@@ -7,49 +7,49 @@
 	"github.com/hatchplank/hatchplank/internal/standin/record"
 )
 
-// departure is a machine that leaves.
-type departure struct {
-	announced time.Time
-	// visible is when readers of the machine list can see it.
-	visible time.Time
+// leavingMachine is a machine that was announced to leave.
+type leavingMachine struct {
+	announcedAt time.Time
+	// visibleAt is when the machine list shows the departure to readers.
+	visibleAt time.Time
 }
 
-// listReadPeriod is how often a node reads the machine list. What the list showed
-// for a shorter time before its lag grew, a node need not have seen.
+// listReadPeriod is how often a node reads the machine list. A node may have
+// missed an entry that the list showed for a shorter time before its lag grew.
 const listReadPeriod = time.Second
 
-// MachineListLag notes that readers see the list as it was a time ago from now
-// on.
+// MachineListLag records that readers of the machine list receive a state that
+// is lag old from now on.
 func (c *Checker) MachineListLag(lag time.Duration, at time.Time) {
 	c.listLag = lag
 	for _, leaving := range c.leaving {
-		if leaving.visible.Add(listReadPeriod).Before(at) {
+		if leaving.visibleAt.Add(listReadPeriod).Before(at) {
 			continue
 		}
-		leaving.visible = leaving.announced.Add(lag)
-		if leaving.visible.Before(at) {
-			leaving.visible = at
+		leaving.visibleAt = leaving.announcedAt.Add(lag)
+		if leaving.visibleAt.Before(at) {
+			leaving.visibleAt = at
 		}
 	}
 }
 
-// MessageDelay notes that messages may take longer by a delay from now on, and
-// so may arrive later by it than they were sent.
+// MessageDelay records that messages sent from now on may take longer by delay
+// than usual.
 func (c *Checker) MessageDelay(delay time.Duration, at time.Time) {
 	if delay < c.messageDelay {
-		c.delayedUntil = at.Add(c.messageDelay)
-		c.delayBefore = c.messageDelay
+		c.previousDelayUntil = at.Add(c.messageDelay)
+		c.previousDelay = c.messageDelay
 	}
 	c.messageDelay = delay
 }
 
-// onTheWay is the longest that a message arriving now may have been on its way,
-// beyond the usual.
-func (c *Checker) onTheWay(at time.Time) time.Duration {
-	if at.After(c.delayedUntil) {
+// maxTransitDelay returns the largest delay, beyond the usual one, that a message
+// arriving at a time may have had.
+func (c *Checker) maxTransitDelay(at time.Time) time.Duration {
+	if at.After(c.previousDelayUntil) {
 		return c.messageDelay
 	}
-	return max(c.messageDelay, c.delayBefore)
+	return max(c.messageDelay, c.previousDelay)
 }
 
 func (c *Checker) observeMachine(event record.Event) {
@@ -58,30 +58,32 @@
 		return
 	}
 	c.report.MachinesLeaving++
-	c.leaving[event.Server] = &departure{announced: event.At, visible: event.At.Add(c.listLag)}
+	c.leaving[event.Server] = &leavingMachine{announcedAt: event.At, visibleAt: event.At.Add(c.listLag)}
 }
 
-// observeReceived checks that no work comes to a machine that has been seen
-// leaving for long. A node or machine that was paused meanwhile may first act
-// on it a grace after its resumption.
+// observeReceived checks that a leaving machine receives no new work once
+// LeavingGrace has passed since the machine list showed the departure. If the
+// node or the machine was paused meanwhile, the grace period starts at its
+// resumption.
 func (c *Checker) observeReceived(event record.Event) {
-	leaving, leaves := c.leaving[event.Server]
-	if !leaves {
+	leaving, found := c.leaving[event.Server]
+	if !found {
 		return
 	}
-	sent := event.At.Add(-c.onTheWay(event.At))
-	delay := sent.Sub(leaving.visible)
-	usual := leaving.visible.Add(c.limits.LeavingGrace)
-	due, open := extendAll(leaving.visible, usual, c.limits.LeavingGrace,
+	sent := event.At.Add(-c.maxTransitDelay(event.At))
+	delay := sent.Sub(leaving.visibleAt)
+	unextended := leaving.visibleAt.Add(c.limits.LeavingGrace)
+	due, ongoing := extendAll(leaving.visibleAt, unextended, c.limits.LeavingGrace,
 		c.pauses[senderOf(event.Attempt)], c.pauses[string(event.Server)])
-	if !open && due.Equal(usual) {
+	if !ongoing && due.Equal(unextended) {
 		c.report.MaxDrainDelay = max(c.report.MaxDrainDelay, delay.Seconds())
 	}
-	c.report.Tallies[PromiseLeaving].check(open || !sent.After(due),
+	c.report.Tallies[PromiseLeaving].check(ongoing || !sent.After(due),
 		"%s got new work (request %s) %s after readers could see it leave", event.Server, event.RequestID, delay)
 }
 
-// senderOf returns the node that an attempt's id begins with.
+// senderOf returns the node identity that is the prefix of an attempt's ID, or
+// an empty string if there is none.
 func senderOf(attempt outside.AttemptID) string {
 	for position := range attempt {
 		if attempt[position] == '/' {
--- a/internal/checker/promise.go
+++ b/internal/checker/promise.go
@@ -1,35 +1,37 @@
 // Package checker verifies the product's promises from outside: from what the
 // platform's stand-ins recorded and what callers and operators received. It
-// never asks a node what it believes.
+// never uses the state of a node.
 package checker
 
 import "fmt"
 
-// Promise is one thing that must always hold.
+// Promise is one invariant that the product guarantees.
 type Promise uint8
 
-// The promises, in the order in which the users name them.
+// The promises, in the order in which the users list them.
 const (
 	// PromiseReplicas: no more replicas of a model are loaded than its row
 	// allows.
 	PromiseReplicas Promise = iota
-	// PromiseMemory: no machine's accelerator memory is committed beyond what
-	// it has.
+	// PromiseMemory: no machine's accelerator memory is committed beyond its
+	// capacity.
 	PromiseMemory
-	// PromiseAnswered: every request gets its final answer within its limit.
+	// PromiseAnswered: every request gets exactly one final answer, within its
+	// limit.
 	PromiseAnswered
-	// PromiseOwnAnswer: a served request got the complete answer to itself.
+	// PromiseOwnAnswer: a served request got its own answer, and completely.
 	PromiseOwnAnswer
 	// PromiseNotRun: a request refused as not run never ran.
 	PromiseNotRun
 	// PromiseOnce: a non-repeatable request ran at most once.
 	PromiseOnce
-	// PromiseLeaving: a leaving back end gets no new work after a few seconds.
+	// PromiseLeaving: a leaving back end gets no new work after a few seconds
+	// (Limits.LeavingGrace).
 	PromiseLeaving
-	// PromisePlannedStop: a planned stop cuts off no request.
+	// PromisePlannedStop: a planned shutdown or unload interrupts no request.
 	PromisePlannedStop
-	// PromiseTable: an accepted table change is in force everywhere within
-	// seconds and never reverts.
+	// PromiseTable: an accepted table change is applied on all nodes within
+	// seconds (Limits.TableGrace) and never reverted.
 	PromiseTable
 	promiseCount
 )
@@ -38,10 +40,10 @@
 	"replicas", "memory", "answered", "own_answer", "not_run", "once", "leaving", "planned_stop", "table",
 }
 
-// String returns the promise's word.
+// String returns the promise's name in reports.
 func (p Promise) String() string { return promiseNames[p] }
 
-// Promises returns all promises in order.
+// Promises returns all promises, in order.
 func Promises() []Promise {
 	all := make([]Promise, promiseCount)
 	for i := range all {
@@ -50,17 +52,19 @@
 	return all
 }
 
-// maxExamples is how many violations of one promise are kept as text.
+// maxExamples is the number of violations of one promise that are described in
+// a report.
 const maxExamples = 5
 
-// Tally counts the checks of one promise.
+// Tally counts the checks and violations of one promise.
 type Tally struct {
 	Checks     uint64
 	Violations uint64
-	// Examples are the first violations in words.
+	// Examples describe the first violations.
 	Examples []string
 }
 
+// check counts a check and, unless ok, a violation with its description.
 func (t *Tally) check(ok bool, format string, arguments ...any) {
 	t.Checks++
 	if ok {
@@ -75,18 +79,19 @@
 // Report is the outcome of a run's checks.
 type Report struct {
 	Tallies [promiseCount]Tally
-	// Requests sent; Served, Refused and LostWithNode of them; Unanswered by a
-	// node that lived.
+	// Requests counts requests sent; Served, Refused and LostWithNode count
+	// their outcomes; Unanswered counts those without any that were due.
 	Requests, Served, Refused, LostWithNode, Unanswered uint64
 	// RefusedByCode counts refusals by result code.
 	RefusedByCode map[int]uint64
 	// MachinesLeaving counts machines that were announced to leave.
 	MachinesLeaving uint64
-	// MaxConfigDelay and MaxDrainDelay in seconds, of those not moved by a pause
-	// or a partition.
+	// MaxConfigDelay and MaxDrainDelay are the longest times, in seconds, until
+	// a table change was applied and until a leaving machine received its last
+	// work, of those whose due time no pause or outage extended.
 	MaxConfigDelay, MaxDrainDelay float64
-	// Doubled, Mismatched, Overcommitted and OverReplicas single out the
-	// violations that the demonstration prints.
+	// Doubled, Mismatched, Overcommitted and OverReplicas count the violations
+	// that the demonstration prints separately.
 	Doubled, Mismatched, Overcommitted, OverReplicas uint64
 }
 
@@ -99,7 +104,7 @@
 	return total
 }
 
-// Add sums up another run's report into this one.
+// Add adds another run's report to this one.
 func (r *Report) Add(other Report) {
 	for promise := range r.Tallies {
 		r.Tallies[promise].add(other.Tallies[promise])
@@ -127,6 +132,6 @@
 func (t *Tally) add(other Tally) {
 	t.Checks += other.Checks
 	t.Violations += other.Violations
-	room := max(0, maxExamples-len(t.Examples))
-	t.Examples = append(t.Examples, other.Examples[:min(room, len(other.Examples))]...)
+	capacity := max(0, maxExamples-len(t.Examples))
+	t.Examples = append(t.Examples, other.Examples[:min(capacity, len(other.Examples))]...)
 }
--- a/internal/checker/replicas.go
+++ b/internal/checker/replicas.go
@@ -8,55 +8,55 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// allowance is a row's replica limit from a time on.
-type allowance struct {
+// replicaLimit is the replica limit of a model's row from a time on.
+type replicaLimit struct {
 	from time.Time
 	max  int
 }
 
-// TableAccepted notes that a revision became durable at a time. Rows are all
-// rows of the revision.
+// TableAccepted records that a revision with the given rows became durable.
 func (c *Checker) TableAccepted(rows []table.Row, at time.Time) {
-	named := make(map[string]bool, len(rows))
+	present := make(map[string]bool, len(rows))
 	for _, row := range rows {
-		named[row.Name] = true
+		present[row.Name] = true
 		if row.Kind == table.KindModel {
-			c.allow(row.Name, row.MaxReplicas, at)
+			c.recordLimit(row.Name, row.MaxReplicas, at)
 		}
 	}
-	for name := range c.allowed {
-		if !named[name] {
-			c.allow(name, 0, at)
+	for name := range c.replicaLimits {
+		if !present[name] {
+			c.recordLimit(name, 0, at)
 		}
 	}
 }
 
-func (c *Checker) allow(model string, limit int, at time.Time) {
-	history := c.allowed[model]
+// recordLimit appends a limit to a model's history if it differs from the last.
+func (c *Checker) recordLimit(model string, limit int, at time.Time) {
+	history := c.replicaLimits[model]
 	if len(history) > 0 && history[len(history)-1].max == limit {
 		return
 	}
-	c.allowed[model] = append(history, allowance{from: at, max: limit})
+	c.replicaLimits[model] = append(history, replicaLimit{from: at, max: limit})
 }
 
-// allowedAt is the largest limit that may still be acted on at a time: the one
-// in force and those replaced within the table's grace.
-func (c *Checker) allowedAt(model string, at time.Time) int {
-	largest := 0
-	history := c.allowed[model]
+// maxReplicasAt returns the largest replica limit that a node may apply at a
+// time: the present one or one that was replaced within TableGrace before.
+func (c *Checker) maxReplicasAt(model string, at time.Time) int {
+	highest := 0
+	history := c.replicaLimits[model]
 	for i := len(history) - 1; i >= 0; i-- {
 		if history[i].from.After(at) {
 			continue
 		}
-		largest = max(largest, history[i].max)
+		highest = max(highest, history[i].max)
 		if at.Sub(history[i].from) > c.limits.TableGrace {
 			break
 		}
 	}
-	return largest
+	return highest
 }
 
-// observeReplica follows which engines hold a replica of which model.
+// observeReplica tracks which engines hold a replica of which model.
 func (c *Checker) observeReplica(event record.Event) {
 	switch event.Kind {
 	case record.KindLoadStarted:
@@ -64,27 +64,27 @@
 	case record.KindLoadFailed, record.KindUnloadFinished:
 		delete(c.replicas[event.Model], event.Server)
 	case record.KindProcessDied, record.KindProcessStarted:
-		c.forgetServer(event.Server)
+		c.removeReplicasOn(event.Server)
 	}
 }
 
 func (c *Checker) loadStarted(event record.Event) {
-	holders, known := c.replicas[event.Model]
-	if !known {
+	holders, found := c.replicas[event.Model]
+	if !found {
 		holders = map[outside.ServerID]bool{}
 		c.replicas[event.Model] = holders
 	}
 	holders[event.Server] = true
-	limit := c.allowedAt(event.Model, event.At)
-	within := len(holders) <= limit
-	c.report.Tallies[PromiseReplicas].check(within, "%s has %d replicas of %d allowed after a load on %s at %s",
+	limit := c.maxReplicasAt(event.Model, event.At)
+	withinLimit := len(holders) <= limit
+	c.report.Tallies[PromiseReplicas].check(withinLimit, "%s has %d replicas of %d allowed after a load on %s at %s",
 		event.Model, len(holders), limit, event.Server, event.At.Format(time.TimeOnly))
-	if !within {
+	if !withinLimit {
 		c.report.OverReplicas++
 	}
 }
 
-func (c *Checker) forgetServer(server outside.ServerID) {
+func (c *Checker) removeReplicasOn(server outside.ServerID) {
 	for _, holders := range c.replicas {
 		delete(holders, server)
 	}
--- a/internal/checker/table.go
+++ b/internal/checker/table.go
@@ -8,129 +8,132 @@
 	"github.com/hatchplank/hatchplank/internal/table"
 )
 
-// acknowledgement is an accepted edit as its operator was told.
+// acknowledgement is the acceptance of an edit as reported to its operator.
 type acknowledgement struct {
 	base, revision table.Revision
 	token          string
 }
 
-// change is one accepted table change, seen through requests for a row that it
-// added.
+// change is one accepted table change that adds a row. Probe requests for the
+// row show which nodes have applied it.
 type change struct {
-	// token of the edit, durableAt when it took effect, and toldAt when its
-	// operator heard that it was accepted; zero: not yet.
-	token             string
-	durableAt, toldAt time.Time
-	// nodes that lived when the change was accepted and have not been seen to
-	// act on it.
-	missing map[string]bool
-	// inForce nodes have acted on it.
-	inForce map[string]bool
+	// token identifies the edit, which became durable at durableAt and was
+	// acknowledged to its operator at acknowledgedAt; zero means not yet.
+	token                     string
+	durableAt, acknowledgedAt time.Time
+	// pending nodes were ready when the change became durable and have not been
+	// observed to apply it.
+	pending map[string]bool
+	// applied nodes have been observed to apply it.
+	applied map[string]bool
 }
 
-// ChangeDurable notes that the edit with a token, which adds the named row,
-// took effect in the key-value service; the nodes are those that are ready.
-// Requests for the row show which nodes act on it.
+// ChangeDurable records that the edit with a token, which adds the named row,
+// became durable in the key-value service while the given nodes were ready.
+// Results of requests for the row are reported by Probed.
 func (c *Checker) ChangeDurable(row, token string, at time.Time, nodes []string) {
-	missing := map[string]bool{}
+	pending := map[string]bool{}
 	for _, node := range nodes {
-		missing[node] = true
+		pending[node] = true
 	}
-	c.changes[row] = &change{token: token, durableAt: at, missing: missing, inForce: map[string]bool{}}
+	c.changes[row] = &change{token: token, durableAt: at, pending: pending, applied: map[string]bool{}}
 }
 
-// Probed notes whether a node acted on the change that added a row.
-func (c *Checker) Probed(row, node string, acts bool, at time.Time) {
-	state, known := c.changes[row]
-	if !known {
+// Probed records whether a node applied the change that added a row.
+func (c *Checker) Probed(row, node string, applies bool, at time.Time) {
+	state, found := c.changes[row]
+	if !found {
 		return
 	}
 	tally := &c.report.Tallies[PromiseTable]
-	if state.inForce[node] {
-		tally.check(acts, "%s went back behind the change that added %s", node, row)
+	if state.applied[node] {
+		tally.check(applies, "%s reverted the change that added %s", node, row)
 		return
 	}
-	if !acts || !state.missing[node] {
+	if !applies || !state.pending[node] {
 		return
 	}
-	delete(state.missing, node)
-	state.inForce[node] = true
+	delete(state.pending, node)
+	state.applied[node] = true
 	c.checkDelay(row, node, state, at)
 }
 
-// checkDelay checks that a node acts on a change in time: within the grace of
-// its acceptance, or of the end of what kept the node from hearing of it. A
-// change whose operator has not been told is known to the key-value service
-// alone, so that it counts from the end of that service's outage.
+// checkDelay checks that a node applied a change in time: within TableGrace of
+// its acceptance, or of the end of the pause or partition that kept the node
+// from receiving it. A change that has not been acknowledged to its operator may
+// exist only in the key-value service, so outages of that service extend its
+// due time too.
 func (c *Checker) checkDelay(row, node string, state *change, at time.Time) {
-	accepted, outages := state.toldAt, spans(nil)
-	if state.toldAt.IsZero() {
-		accepted, outages = state.durableAt, c.keyValueOut
+	accepted, serviceOutages := state.acknowledgedAt, outages(nil)
+	if state.acknowledgedAt.IsZero() {
+		accepted, serviceOutages = state.durableAt, c.keyValueOutages
 	}
-	usual := accepted.Add(c.limits.TableGrace)
-	due, open := extendAll(accepted, usual, c.limits.TableGrace, c.pauses[node], c.cutOff[nameOf(node)], outages)
-	if open {
+	unextended := accepted.Add(c.limits.TableGrace)
+	due, ongoing := extendAll(accepted, unextended, c.limits.TableGrace, c.pauses[node], c.partitions[nodeNameOf(node)], serviceOutages)
+	if ongoing {
 		return
 	}
 	delay := at.Sub(accepted)
-	if due.Equal(usual) {
+	if due.Equal(unextended) {
 		c.report.MaxConfigDelay = max(c.report.MaxConfigDelay, delay.Seconds())
 	}
 	c.report.Tallies[PromiseTable].check(!at.After(due),
-		"the change that added %s was not in force at %s after %s", row, node, delay)
+		"the change that added %s was not applied on %s after %s", row, node, delay)
 }
 
-// NodeStopped notes that a node ended; it need not act on changes any more.
+// NodeStopped records that a node crashed or began a planned shutdown, in which
+// it refuses probe requests. It is no longer checked for changes.
 func (c *Checker) NodeStopped(node string) {
 	for _, state := range c.changes {
-		delete(state.missing, node)
-		delete(state.inForce, node)
+		delete(state.pending, node)
+		delete(state.applied, node)
 	}
 }
 
-// finishTable checks that no change stayed without force.
+// finishTable runs the last checks of all changes.
 func (c *Checker) finishTable(now time.Time) {
 	for _, row := range slices.Sorted(maps.Keys(c.changes)) {
 		c.FinishChange(row, now)
 	}
 }
 
-// FinishChange ends the checks of a change, before the row that it added is removed.
-// Nodes that do not act on it yet are late if their grace is over.
+// FinishChange runs the last checks of a change, before the row that it added is
+// removed. Nodes that have not applied it are late if their due time has passed.
 func (c *Checker) FinishChange(row string, at time.Time) {
-	state, known := c.changes[row]
-	if !known {
+	state, found := c.changes[row]
+	if !found {
 		return
 	}
 	delete(c.changes, row)
 	if !at.After(state.durableAt.Add(c.limits.TableGrace)) {
 		return
 	}
-	for _, node := range slices.Sorted(maps.Keys(state.missing)) {
+	for _, node := range slices.Sorted(maps.Keys(state.pending)) {
 		c.checkDelay(row, node, state, at)
 	}
 }
 
-// TableLogInvalid notes a durable edit that does not follow from the one before.
+// TableLogInvalid records that a durable edit does not follow from the one
+// before it.
 func (c *Checker) TableLogInvalid(err error) {
-	c.report.Tallies[PromiseTable].check(false, "the table's log is broken: %v", err)
+	c.report.Tallies[PromiseTable].check(false, "invalid table log: %v", err)
 }
 
-// Durable notes the token of the edit that became a revision.
-func (c *Checker) Durable(revision table.Revision, token string) { c.durable[revision] = token }
+// Durable records the token of the edit that became a revision.
+func (c *Checker) Durable(revision table.Revision, token string) { c.durableTokens[revision] = token }
 
-// Acknowledged notes that an operator was told of an accepted edit, which was
-// based on a revision.
+// Acknowledged records that an operator received the acceptance of an edit that
+// was based on the revision base.
 func (c *Checker) Acknowledged(base, revision table.Revision, token string, at time.Time) {
 	for _, state := range c.changes {
 		if state.token == token {
-			state.toldAt = at
+			state.acknowledgedAt = at
 		}
 	}
 	c.acknowledged = append(c.acknowledged, acknowledgement{base: base, revision: revision, token: token})
 }
 
-// Rejected notes that an operator was told that an edit was not accepted.
+// Rejected records that an operator received the rejection of an edit.
 func (c *Checker) Rejected(token string) { c.rejected = append(c.rejected, token) }
 
 // finishEdits checks that each acknowledged edit is durable, that no two of
@@ -139,18 +142,18 @@
 	tally := &c.report.Tallies[PromiseTable]
 	bases := map[table.Revision]string{}
 	for _, edit := range c.acknowledged {
-		tally.check(c.durable[edit.revision] == edit.token, "edit %s was acknowledged as revision %d but is not durable",
+		tally.check(c.durableTokens[edit.revision] == edit.token, "edit %s was acknowledged as revision %d but is not durable",
 			edit.token, edit.revision)
-		other, taken := bases[edit.base]
-		tally.check(!taken, "edits %s and %s were both accepted on revision %d", other, edit.token, edit.base)
+		other, duplicate := bases[edit.base]
+		tally.check(!duplicate, "edits %s and %s were both accepted on revision %d", other, edit.token, edit.base)
 		bases[edit.base] = edit.token
 	}
-	revisions := make(map[string]table.Revision, len(c.durable))
-	for revision, token := range c.durable {
+	revisions := make(map[string]table.Revision, len(c.durableTokens))
+	for revision, token := range c.durableTokens {
 		revisions[token] = revision
 	}
 	for _, token := range c.rejected {
-		revision, durable := revisions[token]
-		tally.check(!durable, "edit %s was rejected but is durable as revision %d", token, revision)
+		revision, found := revisions[token]
+		tally.check(!found, "edit %s was rejected but is durable as revision %d", token, revision)
 	}
 }
