--- a/internal/checker/table.go
+++ b/internal/checker/table.go
@@ -78,7 +78,7 @@
 		c.report.MaxConfigDelay = max(c.report.MaxConfigDelay, delay.Seconds())
 	}
 	c.report.Tallies[PromiseTable].check(!at.After(due),
-		"the change that added %s was not applied on %s after %s", row, node, delay)
+		"the change that added %s was not in force at %s after %s", row, node, delay)
 }
 
 // NodeStopped records that a node crashed or began a planned shutdown, in which
--- a/internal/outside/etcd/watch.go
+++ b/internal/outside/etcd/watch.go
@@ -152,7 +152,7 @@
 func (w *watch) deliverRevision(encoded []wire.Event) error {
 	revision := int64(encoded[0].KeyValue.ModRevision)
 	if revision <= w.revision {
-		return fmt.Errorf("%w: revision %d after revision %d", errWatchOrder, revision, w.revision)
+		return fmt.Errorf("%w: %d after %d", errWatchOrder, revision, w.revision)
 	}
 	w.revision = revision
 	events := make([]outside.WatchEvent, 0, len(encoded))
