--- a/internal/bounds/bounds_test.go
+++ b/internal/bounds/bounds_test.go
@@ -138,8 +138,8 @@
 }
 
 // keepAliveIdle returns the idle accelerator seconds of a schedule with a fixed
-// keep-alive, in which the model is loaded by the time at which the window of a
-// request that waits for it first ends.
+// keep-alive. In each session the model is loaded by the earliest end of the
+// windows of the requests that wait for it.
 func keepAliveIdle(model *bounds.ModelWorkload, keepAlive float64) float64 {
 	cost, upFrom, upUntil, busyUntil, load := 0.0, math.Inf(1), math.Inf(-1), math.Inf(-1), model.FirstLoad
 	for index, request := range model.Requests {
