--- a/internal/mirror/content.go
+++ b/internal/mirror/content.go
@@ -71,7 +71,7 @@
 	}
 	value, err := decompress(update.Content)
 	if err != nil {
-		m.config.Logger.Error().Err(err).Int64("revision", update.Configuration).Msg("compressed configuration can't be decompressed; reading it from the store")
+		m.config.Logger.Error().Err(err).Int64("revision", update.Configuration).Msg("packed configuration is not understood; it is read from the store")
 		m.contentDeadline = now
 		return
 	}
--- a/internal/orders/link.go
+++ b/internal/orders/link.go
@@ -297,7 +297,7 @@
 	l.version = 0
 	clear(l.readyTimes)
 	l.config.View.ClearPlacements()
-	l.config.Logger.Warn().Int64("token", l.token).Msg("no update from the holder; using the servers' records again")
+	l.config.Logger.Warn().Int64("token", l.token).Msg("holder not heard; servers' records count again")
 }
 
 // ReadyAt implements forward.Orders.
--- a/internal/poison/entry_store.go
+++ b/internal/poison/entry_store.go
@@ -67,7 +67,7 @@
 	}
 	decoded, err := hex.DecodeString(text)
 	if err != nil || len(decoded) != len(identity) {
-		s.guard.config.Logger.Error().Str("key", key).Msg("malformed key of a quarantine entry")
+		s.guard.config.Logger.Error().Str("key", key).Msg("key of a refused request is not understood")
 		return identity, false
 	}
 	return Identity(decoded), true
--- a/internal/poison/entry_store_watch.go
+++ b/internal/poison/entry_store_watch.go
@@ -61,7 +61,7 @@
 func (s *entryStore) load(identity Identity, keyValue outside.KeyValue) {
 	var saved savedEntry
 	if err := json.Unmarshal(keyValue.Value, &saved); err != nil {
-		s.guard.config.Logger.Error().Err(err).Str("key", keyValue.Key).Msg("malformed quarantine entry in the store")
+		s.guard.config.Logger.Error().Err(err).Str("key", keyValue.Key).Msg("entry of a refused request is not understood")
 		return
 	}
 	s.mutex.Lock()
--- a/internal/poison/shared_crashes.go
+++ b/internal/poison/shared_crashes.go
@@ -147,7 +147,7 @@
 	}
 	var saved savedCrashes
 	if err := json.Unmarshal(keyValue.Value, &saved); err != nil {
-		s.guard.config.Logger.Error().Err(err).Str("key", keyValue.Key).Msg("malformed shared crashes in the store")
+		s.guard.config.Logger.Error().Err(err).Str("key", keyValue.Key).Msg("ends of servers are not understood")
 		return
 	}
 	since := max(time.Since(time.UnixMilli(saved.AtMillis)), 0)
